--- a/src/gateway/call_handler.ts
+++ b/src/gateway/call_handler.ts
@@ -22,10 +22,10 @@
 
 /** Time for which a request waits at most for the first configuration after a start, in milliseconds: below a quarter
  * of most objectives beyond what a first read of the platform takes. */
-const FIRST_ROUTES_WAIT_MS = 250;
+const INITIAL_CONFIGURATION_TIMEOUT_MS = 250;
 
 /** Limits until the first configuration tells others. */
-const FIRST_LIMITS: CallerLimits = {
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeoutMs: 3_000,
@@ -39,17 +39,17 @@
   codec: HeaderCodec;
   getRoutes: () => RouteTable | undefined;
   /** Resolves with the first configuration. */
-  firstRoutes: Promise<void>;
+  initialRoutes: Promise<void>;
   /** Whether what is known of keys is new enough to honour them. */
-  mayHonourKeys: () => boolean;
+  mayAcceptKeys: () => boolean;
   /** Age of what is known, in milliseconds, for the log. */
-  getAgeMs: () => number;
+  getPublicationAgeMs: () => number;
   /** Whether connections are to be closed after their answer. */
   isLeaving: () => boolean;
   /** Told of each request that is sent on for the first time. */
-  onFirstSend: (service: string) => void;
+  onRequestAdmitted: (service: string) => void;
   /** Finds out which engines keep a part of a prompt; nothing where there is nobody to ask. */
-  learnPart: (part: number) => Promise<void> | undefined;
+  lookUpPart: (part: number) => Promise<void> | undefined;
   upstreamAccess: UpstreamAccess;
   guard: CrashGuard;
 }
@@ -57,7 +57,7 @@
 /** Takes callers' requests from their heads to their runs. */
 export class CallHandler {
   private readonly runs = new Set<CallRun>();
-  private reading = 0;
+  private pendingAdmissions = 0;
 
   private constructor(private readonly options: CallHandlerOptions) {}
 
@@ -69,7 +69,7 @@
 
   /** Requests that have not been answered. */
   get openCalls(): number {
-    return this.runs.size + this.reading;
+    return this.runs.size + this.pendingAdmissions;
   }
 
   /** Takes a request.
@@ -79,10 +79,11 @@
     const receivedAt = readClock();
     const headers = this.options.codec.readCaller(request.rawHeaders);
     const answer = CallerAnswer.create(response, this.options.isLeaving);
-    this.reading += 1;
-    void this.read(request, response, headers, answer, receivedAt).finally(
-      () => this.reading -= 1,
-    );
+    this.pendingAdmissions += 1;
+    void this.admitAndRun(request, response, headers, answer, receivedAt)
+      .finally(
+        () => this.pendingAdmissions -= 1,
+      );
   }
 
   /** Takes over a configuration for the requests under way.
@@ -95,7 +96,7 @@
 
   /** Ends the unanswered runs of a request that is held back from now on.
    * @param fingerprint Its fingerprint. */
-  holdBack(fingerprint: number): void {
+  endHeldRuns(fingerprint: number): void {
     for (const run of [...this.runs]) {
       if (run.call.fingerprint === fingerprint) run.holdBack();
     }
@@ -103,11 +104,11 @@
 
   /** Fails the attempts on a start of an upstream that is no more.
    * @param upstream The start. */
-  loseUpstream(upstream: Upstream): void {
+  failAttemptsOn(upstream: Upstream): void {
     for (const run of [...this.runs]) run.loseUpstream(upstream);
   }
 
-  private async read(
+  private async admitAndRun(
     request: IncomingMessage,
     response: ServerResponse,
     headers: CallerHeaders,
@@ -115,12 +116,12 @@
     receivedAt: number,
   ): Promise<void> {
     try {
-      await this.waitForRoutes();
-      const limits = this.options.getRoutes()?.limits ?? FIRST_LIMITS;
+      await this.waitForInitialRoutes();
+      const limits = this.options.getRoutes()?.limits ?? DEFAULT_LIMITS;
       checkHeaderSize(request, limits);
       const admitted = this.admit(request, headers, receivedAt);
       const deepest = admitted.sharedParts.at(-1);
-      const learning = deepest && this.options.learnPart(deepest.name);
+      const learning = deepest && this.options.lookUpPart(deepest.name);
       const body = await readBody(request, limits.maxBodyBytes);
       if (learning) await learning;
       if (response.destroyed) return;
@@ -132,10 +133,10 @@
   }
 
   /** Waits a little where there is no configuration yet; it is asked for as soon as the process starts. */
-  private async waitForRoutes(): Promise<void> {
+  private async waitForInitialRoutes(): Promise<void> {
     if (this.options.getRoutes()) return;
-    const { firstRoutes } = this.options;
-    await Promise.race([firstRoutes, delay(FIRST_ROUTES_WAIT_MS)]);
+    const { initialRoutes: firstRoutes } = this.options;
+    await Promise.race([firstRoutes, delay(INITIAL_CONFIGURATION_TIMEOUT_MS)]);
   }
 
   private admit(
@@ -149,7 +150,7 @@
       method: request.method ?? "GET",
       path: request.url ?? "/",
       receivedAt,
-      mayHonourKeys: this.options.mayHonourKeys(),
+      mayHonourKeys: this.options.mayAcceptKeys(),
     });
     if (admitted.isErr()) throw admitted.error;
     return admitted.value;
@@ -161,10 +162,10 @@
     answer: CallerAnswer,
     response: ServerResponse,
   ): void {
-    const call = completeCall(admitted, body);
+    const call = buildRoutedCall(admitted, body);
     const refusal = this.options.guard.findRefusal(call.fingerprint);
     if (refusal) throw refusal;
-    this.options.onFirstSend(call.service);
+    this.options.onRequestAdmitted(call.service);
     const { logger, codec, guard } = this.options;
     let isEnded = false;
     const run = CallRun.create(call, answer, {
@@ -175,7 +176,7 @@
       onEnd: (ended, outcome) => {
         isEnded = true;
         this.runs.delete(ended);
-        this.noteEnd(call, outcome);
+        this.recordEnd(call, outcome);
       },
     });
     if (isEnded) return;
@@ -185,9 +186,9 @@
     });
   }
 
-  private noteEnd(call: RoutedCall, outcome: CallOutcome): void {
+  private recordEnd(call: RoutedCall, outcome: CallOutcome): void {
     const { result, detail, durationMs, attempts } = outcome;
-    this.options.metrics.noteRequest(call.route.kind, result, durationMs);
+    this.options.metrics.recordRequest(call.route.kind, result, durationMs);
     this.options.logger.info({
       request: call.requestId,
       route: call.route.name,
@@ -207,20 +208,20 @@
     answer: CallerAnswer,
     request: IncomingMessage,
   ): void {
-    this.options.metrics.noteRefusal(failure.kind);
+    this.options.metrics.recordRefusal(failure.kind);
     this.options.logger.info({
       request: headers.requestId,
       kind: failure.kind,
       detail: failure.detail,
       configuration: this.options.getRoutes()?.version,
-      ageMs: Math.round(this.options.getAgeMs()),
+      ageMs: Math.round(this.options.getPublicationAgeMs()),
     }, "request_refused");
     answer.refuse(failure);
     if (!request.complete) request.resume();
   }
 }
 
-function completeCall(admitted: AdmittedCall, read: Buffer): RoutedCall {
+function buildRoutedCall(admitted: AdmittedCall, read: Buffer): RoutedCall {
   const body = read.length > 0 ? read : undefined;
   const { method, path, customer, headers: { host } } = admitted;
   const identity = { method, host, path, customer, body };
--- a/src/gateway/choose_addresses.ts
+++ b/src/gateway/choose_addresses.ts
@@ -5,7 +5,7 @@
 const MAX_ADDRESSES = 64;
 
 /** What an answer with addresses is made from. */
-export interface AddressOptions {
+export interface ChooseAddressesOptions {
   /** Address of this host, and whether it takes requests. */
   own: { callerAddress: string; isReady: boolean };
   /** Other hosts that are taken for live. */
@@ -16,7 +16,7 @@
  * names others of them, so that all are named about as often. Where none is known there are none, so that the caller asks
  * another host or keeps the addresses it has.
  * @param options What the answer is made from. */
-export function chooseAddresses(options: AddressOptions): string[] {
+export function chooseAddresses(options: ChooseAddressesOptions): string[] {
   const { own, live } = options;
   const others = live.filter((host) => host.entry.phase === "ready").map((
     host,
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -12,11 +12,11 @@
 import type { EngineInventory } from "../upstreams/engine_inventory.ts";
 import type { CallerSurface } from "./caller_surface.ts";
 import { CallHandler } from "./call_handler.ts";
-import { FleetLink } from "./fleet_link.ts";
+import { PeerNetwork } from "./peer_network.ts";
 import { GatewayEndpoints } from "./gateway_endpoints.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
-import { type GatewaySettings, pickFixed } from "./gateway_settings.ts";
-import { PlannedStop } from "./planned_stop.ts";
+import { type GatewaySettings, pickRestartOnly } from "./gateway_settings.ts";
+import { GracefulStop } from "./planned_stop.ts";
 import { PrefixExchange } from "./prefix_exchange.ts";
 import { PrefixRecovery } from "./prefix_recovery.ts";
 import { PublicationExchange } from "./publication_exchange.ts";
@@ -24,10 +24,10 @@
 import { UpstreamChooser } from "./upstream_chooser.ts";
 
 /** Part of the bound on old keys that is used; the rest is for a request's way to its upstream. */
-const KEY_BELIEF_PART = 0.8;
+const KEY_AGE_LIMIT_FRACTION = 0.8;
 
 /** What a gateway is made of beside its settings. */
-export interface GatewayParts {
+export interface GatewayDependencies {
   logger: Logger;
   feed: PublicationFeed;
   inventory: EngineInventory;
@@ -40,44 +40,44 @@
 export class Gateway {
   private readonly logger: Logger;
   private readonly metrics = GatewayMetrics.create();
-  private readonly stop = PlannedStop.create();
-  private readonly keeper: PublicationKeeper;
+  private readonly stop = GracefulStop.create();
+  private readonly published: PublicationKeeper;
   private readonly chooser: UpstreamChooser;
   private readonly handler: CallHandler;
   private readonly guard: CrashGuard;
   private readonly publicationExchange: PublicationExchange;
   private readonly prefixExchange: PrefixExchange;
-  private resolveFirstRoutes: () => void = () => undefined;
-  private readonly firstRoutes = new Promise<void>((resolve) =>
-    this.resolveFirstRoutes = resolve
+  private resolveInitialRoutes: () => void = () => undefined;
+  private readonly initialRoutes = new Promise<void>((resolve) =>
+    this.resolveInitialRoutes = resolve
   );
-  private link: FleetLink | undefined;
+  private peerNetwork: PeerNetwork | undefined;
   private watch: PublicationWatch | undefined;
   private endpoints: GatewayEndpoints | undefined;
   private server: CallServer | undefined;
-  private readonly unwatchClock = watchClock((jumpMs) => {
-    const { ageMs } = this.keeper;
+  private readonly stopClockWatch = watchClock((jumpMs) => {
+    const { ageMs } = this.published;
     this.logger.warn({ jumpMs, ageMs: Math.round(ageMs) }, "time_jumped");
   });
 
   private constructor(
     private settings: GatewaySettings,
-    private readonly parts: GatewayParts,
+    private readonly dependencies: GatewayDependencies,
   ) {
-    this.logger = parts.logger;
+    this.logger = dependencies.logger;
     this.guard = this.createGuard();
     this.chooser = this.createChooser();
-    this.keeper = PublicationKeeper.create({
+    this.published = PublicationKeeper.create({
       logger: this.logger,
       onConfiguration: (routes) => this.applyConfiguration(routes),
-      onEra: (era) => this.metrics.noteEra(era),
+      onEra: (era) => this.metrics.recordEra(era),
       onUpstreams: (changes) => {
         this.chooser.upstreams.apply(changes);
-        this.link?.announce();
+        this.peerNetwork?.announce();
       },
     });
     this.publicationExchange = PublicationExchange.create(
-      this.keeper,
+      this.published,
       this.logger,
     );
     this.prefixExchange = PrefixExchange.create(
@@ -92,7 +92,7 @@
    * @param parts What it is made of. */
   static async start(
     settings: GatewaySettings,
-    parts: GatewayParts,
+    parts: GatewayDependencies,
   ): Promise<Gateway> {
     const gateway = new Gateway(settings, parts);
     await gateway.open();
@@ -104,8 +104,8 @@
   reload(settings: GatewaySettings): void {
     const { seedAddresses } = settings;
     this.logger.info({ seeds: seedAddresses.join(",") }, "settings_reloaded");
-    this.settings = { ...settings, ...pickFixed(this.settings) };
-    this.chooser.resetRetries();
+    this.settings = { ...settings, ...pickRestartOnly(this.settings) };
+    this.chooser.resetRetryBudgets();
   }
 
   /** Stops as planned: leaves the answers with addresses, goes on taking requests while callers may keep those, and lets
@@ -114,8 +114,8 @@
     if (this.stop.hasStarted) return;
     this.stop.start();
     this.logger.info({ openCalls: this.handler.openCalls }, "stop_started");
-    this.link?.announce();
-    await this.stop.waitForCalls(
+    this.peerNetwork?.announce();
+    await this.stop.waitForOpenCalls(
       this.settings.stopWithinMs,
       () => this.handler.openCalls,
     );
@@ -127,17 +127,17 @@
 
   /** Stops at once. */
   async close(): Promise<void> {
-    this.unwatchClock();
+    this.stopClockWatch();
     this.watch?.close();
     this.server?.close();
     this.chooser.close();
     this.guard.close();
     this.endpoints?.close();
-    await this.link?.close();
+    await this.peerNetwork?.close();
     await this.publicationExchange.close();
     await this.prefixExchange.close();
-    await this.parts.inventory.close();
-    await this.parts.feed.close();
+    await this.dependencies.inventory.close();
+    await this.dependencies.feed.close();
   }
 
   private async open(): Promise<void> {
@@ -149,42 +149,42 @@
         logger,
         (request, response) => this.handler.handle(request, response),
       ),
-      this.createLink(),
+      this.createPeerNetwork(),
       this.createEndpoints(),
     ]);
     this.server = server;
-    this.link = link;
+    this.peerNetwork = link;
     this.endpoints = endpoints;
-    if (this.keeper.routes) server.applyLimits(this.keeper.routes.limits);
+    if (this.published.routes) server.applyLimits(this.published.routes.limits);
     if (settings.isFirstStart) this.chooser.prefixes.markComplete();
     else void this.recoverPrefixes();
     logger.info({ address: settings.callerAddress }, "gateway_started");
   }
 
   private async recoverPrefixes(): Promise<void> {
-    await this.firstRoutes;
+    await this.initialRoutes;
     const recovery = PrefixRecovery.create({
       logger: this.logger,
       prefixes: this.chooser.prefixes,
-      inventory: this.parts.inventory,
+      inventory: this.dependencies.inventory,
       hostId: this.settings.id,
       exchange: this.prefixExchange,
       getHosts: () => this.getLiveHosts().map((host) => host.entry),
-      getEngines: () => this.chooser.getFetchingEngines(),
+      getEngines: () => this.chooser.getFetchCapableEngines(),
     });
     await recovery.run();
-    this.link?.announce();
+    this.peerNetwork?.announce();
   }
 
   private createGuard(): CrashGuard {
     return CrashGuard.create({
       logger: this.logger,
       describe: describeFingerprint,
-      onNews: () => this.link?.tellCrashes(),
-      onHeld: (fingerprint) => this.handler.holdBack(fingerprint),
+      onNews: () => this.peerNetwork?.announceCrashes(),
+      onHeld: (fingerprint) => this.handler.endHeldRuns(fingerprint),
       onCrash: (upstream) => {
-        this.metrics.noteCrash();
-        this.chooser.noteCrashed(upstream);
+        this.metrics.recordCrash();
+        this.chooser.markCrashed(upstream);
       },
       onRumour: (upstream) => {
         const known = this.chooser.upstreams.findByShortName(upstream);
@@ -197,25 +197,25 @@
     return UpstreamChooser.create({
       logger: this.logger,
       getSettings: () => this.settings,
-      getService: (name) => this.keeper.routes?.getService(name),
+      getService: (name) => this.published.routes?.getService(name),
       countHosts: () => 1 + this.getLiveHosts().length,
-      countSharingHosts: () => this.link?.countSharingHosts() ?? 1,
-      getLapseEndsAt: () => this.keeper.lapseEndsAt,
-      onFacts: () => this.link?.tellFacts(),
-      onRestart: (before) => this.handler.loseUpstream(before),
-      onAvailability: (change) => this.metrics.noteAvailability(change),
+      countBudgetHosts: () => this.peerNetwork?.countBudgetHosts() ?? 1,
+      getLapseEndsAt: () => this.published.lapseEndsAt,
+      onPrefixUpdates: () => this.peerNetwork?.announcePrefixUpdates(),
+      onRestart: (before) => this.handler.failAttemptsOn(before),
+      onAvailability: (change) => this.metrics.recordAvailability(change),
       onDrop: ({ shortName }) => this.guard.noteGone(shortName),
       onSend: ({ basis }, { countAgeMs }) =>
-        this.metrics.noteSend(basis, countAgeMs),
-      onSign: (sign) => this.metrics.noteAttempt(sign),
+        this.metrics.recordSend(basis, countAgeMs),
+      onHealthSignal: (sign) => this.metrics.recordAttempt(sign),
     });
   }
 
-  private createLink(): Promise<FleetLink> {
-    return FleetLink.create({
+  private createPeerNetwork(): Promise<PeerNetwork> {
+    return PeerNetwork.create({
       logger: this.logger,
       getSettings: () => this.settings,
-      keeper: this.keeper,
+      published: this.published,
       chooser: this.chooser,
       publicationExchange: this.publicationExchange,
       metrics: this.metrics,
@@ -228,11 +228,11 @@
   private createWatch(): PublicationWatch {
     return PublicationWatch.create({
       logger: this.logger,
-      feed: this.parts.feed,
-      keeper: this.keeper,
+      feed: this.dependencies.feed,
+      published: this.published,
       getHostId: () => this.settings.id,
       getLiveHosts: () => this.getLiveHosts(),
-      hasOthersFirst: () => {
+      mayBootstrapFromPeers: () => {
         const { seedAddresses, gossipAddress } = this.settings;
         return seedAddresses.length > 0 &&
           !seedAddresses.includes(gossipAddress);
@@ -243,15 +243,15 @@
   private createEndpoints(): Promise<GatewayEndpoints> {
     return GatewayEndpoints.create({
       getSettings: () => this.settings,
-      surface: this.parts.surface,
+      surface: this.dependencies.surface,
       metrics: this.metrics,
       publicationExchange: this.publicationExchange,
       prefixExchange: this.prefixExchange,
-      getHostExchange: () => this.link?.hostExchange,
+      getHostExchange: () => this.peerNetwork?.hostExchange,
       isReady: () => this.isReady,
       isServing: () => this.isServing,
       getLiveHosts: () => this.getLiveHosts(),
-      getAgeMs: () => this.keeper.ageMs,
+      getPublicationAgeMs: () => this.published.ageMs,
     });
   }
 
@@ -259,32 +259,32 @@
     return CallHandler.create({
       logger: this.logger,
       metrics: this.metrics,
-      codec: this.parts.codec,
-      getRoutes: () => this.keeper.routes,
-      firstRoutes: this.firstRoutes,
-      mayHonourKeys: () => this.mayHonourKeys,
-      getAgeMs: () => this.keeper.ageMs,
-      isLeaving: () => this.stop.closesConnections,
-      onFirstSend: (service) => this.chooser.noteFirstSend(service),
-      learnPart: (part) => this.link?.learnPart(part),
+      codec: this.dependencies.codec,
+      getRoutes: () => this.published.routes,
+      initialRoutes: this.initialRoutes,
+      mayAcceptKeys: () => this.mayAcceptKeys,
+      getPublicationAgeMs: () => this.published.ageMs,
+      isLeaving: () => this.stop.shouldCloseConnections,
+      onRequestAdmitted: (service) => this.chooser.recordRequest(service),
+      lookUpPart: (part) => this.peerNetwork?.lookUpPart(part),
       upstreamAccess: this.chooser.createAccess(),
       guard: this.guard,
     });
   }
 
-  private get mayHonourKeys(): boolean {
+  private get mayAcceptKeys(): boolean {
     const { keyBeliefMs } = this.settings;
     if (keyBeliefMs === undefined) return true;
-    return this.keeper.ageMs < keyBeliefMs * KEY_BELIEF_PART;
+    return this.published.ageMs < keyBeliefMs * KEY_AGE_LIMIT_FRACTION;
   }
 
   private get isReady(): boolean {
-    return this.keeper.routes !== undefined && !this.stop.hasStarted;
+    return this.published.routes !== undefined && !this.stop.hasStarted;
   }
 
   /** Whether callers should send requests here: the host is ready and may honour their keys. */
   private get isServing(): boolean {
-    return this.isReady && this.mayHonourKeys;
+    return this.isReady && this.mayAcceptKeys;
   }
 
   private get phase(): PeerEntry["phase"] {
@@ -295,12 +295,12 @@
   private applyConfiguration(routes: RouteTable): void {
     this.server?.applyLimits(routes.limits);
     this.handler.applyRoutes(routes);
-    this.metrics.noteConfiguration(routes.version);
-    this.resolveFirstRoutes();
-    this.link?.announce();
+    this.metrics.recordConfiguration(routes.version);
+    this.resolveInitialRoutes();
+    this.peerNetwork?.announce();
   }
 
   private getLiveHosts(): readonly KnownHost[] {
-    return this.link?.getLiveHosts() ?? [];
+    return this.peerNetwork?.getLiveHosts() ?? [];
   }
 }
--- a/src/gateway/gateway_endpoints.ts
+++ b/src/gateway/gateway_endpoints.ts
@@ -16,7 +16,7 @@
 const METRICS_PATH = "/metrics";
 /** Time for which callers may keep an answer with addresses, in milliseconds: a host that is lost is named for about as
  * long again as it takes to be missed. Half of it doubles the questions and served callers no better. */
-const LOCATE_LIFETIME_MS = 500;
+const LOCATE_TTL_MS = 500;
 
 /** What the endpoints answer from. */
 export interface GatewayEndpointsOptions {
@@ -35,7 +35,7 @@
   /** Other hosts that are heard. */
   getLiveHosts: () => readonly KnownHost[];
   /** Age of what is known, in milliseconds. */
-  getAgeMs: () => number;
+  getPublicationAgeMs: () => number;
 }
 
 /** The HTTP endpoints of a gateway beside the callers' requests: readiness, addresses, other hosts and metrics. */
@@ -74,24 +74,24 @@
       },
       [settings.locateAddress]: {
         [`GET ${surface.locatePath}`]: (_request, response) =>
-          this.answerLocate(response),
+          this.respondLocate(response),
       },
       [settings.peerAddress]: {
         [`GET ${PUBLICATION_PATH}`]: (_request, response, query) =>
-          publicationExchange.answer(response, query),
+          publicationExchange.respond(response, query),
         [`GET ${PREFIXES_PATH}`]: (_request, response) =>
-          prefixExchange.answer(response),
+          prefixExchange.respond(response),
         [`GET ${HOSTS_PATH}`]: (_request, response) =>
-          this.answerHosts(response),
+          this.respondHosts(response),
       },
       [settings.metricsAddress]: {
         [`GET ${METRICS_PATH}`]: (_request, response) =>
-          void this.answerMetrics(response),
+          void this.respondMetrics(response),
       },
     };
   }
 
-  private answerLocate(response: ServerResponse): void {
+  private respondLocate(response: ServerResponse): void {
     const { callerAddress, locateLifetimeLimitMs } = this.options.getSettings();
     const addresses = chooseAddresses({
       own: { callerAddress, isReady: this.options.isServing() },
@@ -101,19 +101,19 @@
       response.writeHead(503).end();
       return;
     }
-    const lifetimeMs = Math.min(LOCATE_LIFETIME_MS, locateLifetimeLimitMs);
+    const lifetimeMs = Math.min(LOCATE_TTL_MS, locateLifetimeLimitMs);
     response.writeHead(200, { "content-type": "application/json" });
     response.end(this.options.surface.writeAddresses(addresses, lifetimeMs));
   }
 
-  private answerHosts(response: ServerResponse): void {
+  private respondHosts(response: ServerResponse): void {
     const exchange = this.options.getHostExchange();
-    if (exchange) exchange.answer(response);
+    if (exchange) exchange.respond(response);
     else response.writeHead(503).end();
   }
 
-  private async answerMetrics(response: ServerResponse): Promise<void> {
-    const { metrics, getAgeMs } = this.options;
+  private async respondMetrics(response: ServerResponse): Promise<void> {
+    const { metrics, getPublicationAgeMs: getAgeMs } = this.options;
     response.end(await metrics.getText(getAgeMs()));
   }
 }
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -4,7 +4,7 @@
 import type { DatagramDirection } from "../peers/datagram_socket.ts";
 
 /** Bounds of the histogram of a request's time, in seconds. */
-const DURATION_BOUNDS_S = [
+const DURATION_BUCKETS_S = [
   0.01,
   0.025,
   0.05,
@@ -18,7 +18,7 @@
 ];
 
 /** Bounds of the histogram of the age of counts, in seconds: from a round of gossip to the longest use of a count. */
-const COUNT_AGE_BOUNDS_S = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.5];
+const COUNT_AGE_BUCKETS_S = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.5];
 
 /** Counters and histograms of one gateway, served as text. */
 export class GatewayMetrics {
@@ -63,14 +63,14 @@
   private readonly countAges = new Histogram({
     name: "beechkeel_load_count_age_seconds",
     help: "Mean age of other hosts' counts of requests at a send.",
-    buckets: COUNT_AGE_BOUNDS_S,
+    buckets: COUNT_AGE_BUCKETS_S,
     registers: [this.registry],
   });
   private readonly durations = new Histogram({
     name: "beechkeel_request_seconds",
     help: "Time from a request's arrival to the end of its answer.",
     labelNames: ["kind"],
-    buckets: DURATION_BOUNDS_S,
+    buckets: DURATION_BUCKETS_S,
     registers: [this.registry],
   });
   private readonly datagramBytes = new Counter({
@@ -107,38 +107,38 @@
    * @param kind Kind of its route.
    * @param result How it ended.
    * @param durationMs Its time in milliseconds. */
-  noteRequest(kind: string, result: string, durationMs: number): void {
+  recordRequest(kind: string, result: string, durationMs: number): void {
     this.requests.inc({ kind, result });
     this.durations.observe({ kind }, durationMs / 1_000);
   }
 
   /** Counts an attempt.
    * @param sign What it said of the upstream's health. */
-  noteAttempt(sign: string): void {
+  recordAttempt(sign: string): void {
     this.attempts.inc({ sign });
   }
 
   /** Counts a refusal before any attempt.
    * @param kind Kind of error. */
-  noteRefusal(kind: string): void {
+  recordRefusal(kind: string): void {
     this.refusals.inc({ kind });
   }
 
   /** Counts an upstream that crashed. */
-  noteCrash(): void {
+  recordCrash(): void {
     this.crashes.inc();
   }
 
   /** Counts a change of what an upstream said of whether it takes requests.
    * @param change The change. */
-  noteAvailability(change: AvailabilityChange): void {
+  recordAvailability(change: AvailabilityChange): void {
     this.availability.inc({ change });
   }
 
   /** Counts a send to an upstream.
    * @param basis What the choice of the upstream rested on.
    * @param countAgeMs Mean age of other hosts' counts, in milliseconds. */
-  noteSend(basis: ChoiceBasis, countAgeMs: number): void {
+  recordSend(basis: ChoiceBasis, countAgeMs: number): void {
     this.sends.inc({ basis });
     this.countAges.observe(countAgeMs / 1_000);
   }
@@ -146,19 +146,19 @@
   /** Counts a datagram.
    * @param direction Whether this host sent or received it.
    * @param bytes Its length. */
-  noteDatagram(direction: DatagramDirection, bytes: number): void {
+  recordDatagram(direction: DatagramDirection, bytes: number): void {
     this.datagramBytes.inc({ direction }, bytes);
   }
 
   /** Notes the configuration that came in force.
    * @param version Its version. */
-  noteConfiguration(version: number): void {
+  recordConfiguration(version: number): void {
     this.version.set(version);
   }
 
   /** Notes how often the platform was restored.
    * @param era Its era. */
-  noteEra(era: number): void {
+  recordEra(era: number): void {
     this.era.set(era);
   }
 
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -46,7 +46,7 @@
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
 
 /** What a process keeps until its next start: its name, and where it listens. */
-const FIXED_FIELDS = [
+const RESTART_ONLY_FIELDS = [
   "id",
   "callerAddress",
   "readinessAddress",
@@ -59,10 +59,10 @@
 
 /** What of the settings holds until the next start.
  * @param settings The settings. */
-export function pickFixed(
+export function pickRestartOnly(
   settings: GatewaySettings,
 ): Partial<GatewaySettings> {
   return Object.fromEntries(
-    FIXED_FIELDS.map((field) => [field, settings[field]]),
+    RESTART_ONLY_FIELDS.map((field) => [field, settings[field]]),
   );
 }
--- a/src/gateway/host_exchange.ts
+++ b/src/gateway/host_exchange.ts
@@ -11,7 +11,7 @@
 export const HOSTS_PATH = "/hosts";
 
 /** Time for a host's answer in milliseconds. */
-const ANSWER_TIMEOUT_MS = 1_000;
+const RESPONSE_TIMEOUT_MS = 1_000;
 
 const statesSchema = z.array(
   z.tuple([peerEntrySchema, z.enum(HOST_STATUSES), z.number()])
@@ -20,7 +20,7 @@
 
 /** Asks other hosts for all hosts that they know, and answers them. */
 export class HostExchange {
-  private readonly client = PackedClient.create(ANSWER_TIMEOUT_MS);
+  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
 
   private constructor(
     private readonly logger: Logger,
@@ -39,7 +39,7 @@
 
   /** Answers a host.
    * @param response Where the answer is written. */
-  answer(response: ServerResponse): void {
+  respond(response: ServerResponse): void {
     const states = this.getStates().map(({ entry, status, agoMs }) => [
       packEntry(entry),
       status,
@@ -50,7 +50,7 @@
 
   /** Asks a host; returns nothing where it does not answer.
    * @param host The host. */
-  async ask(host: PeerEntry): Promise<readonly HostState[] | undefined> {
+  async fetch(host: PeerEntry): Promise<readonly HostState[] | undefined> {
     try {
       const answer = await this.client.ask(host.peerAddress, HOSTS_PATH);
       const states = statesSchema.parse(answer);
--- a/src/gateway/fleet_link.ts
+++ b/src/gateway/peer_network.ts
@@ -14,15 +14,15 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { HostExchange } from "./host_exchange.ts";
 import type { PublicationExchange } from "./publication_exchange.ts";
-import { recordToldLoads } from "./record_told_loads.ts";
+import { recordPeerLoads } from "./record_told_loads.ts";
 import type { UpstreamChooser } from "./upstream_chooser.ts";
 
 /** What the link needs of the gateway. */
-export interface FleetLinkOptions {
+export interface PeerNetworkOptions {
   logger: Logger;
   /** The settings in force; the address to listen on is read once. */
   getSettings: () => GatewaySettings;
-  keeper: PublicationKeeper;
+  published: PublicationKeeper;
   chooser: UpstreamChooser;
   publicationExchange: PublicationExchange;
   metrics: GatewayMetrics;
@@ -35,16 +35,16 @@
 
 /** What this host and the others tell and ask each other by datagrams. In a small fleet every host hears all others in
  * each round; in a large one hosts hear few at a time, and ask those that know. */
-export class FleetLink {
+export class PeerNetwork {
   /** Tells other hosts all hosts that are known here. */
   readonly hostExchange: HostExchange;
   private readonly gossip: Gossip;
-  private readonly questions: AgeQuestions;
+  private readonly ageQueries: AgeQuestions;
   private readonly directory: PrefixDirectory;
   private readonly crashGossip: CrashGossip;
 
   private constructor(
-    private readonly options: FleetLinkOptions,
+    private readonly options: PeerNetworkOptions,
     private readonly socket: DatagramSocket,
   ) {
     const { gossipAddress } = options.getSettings();
@@ -53,20 +53,20 @@
       () => this.gossip.getHostStates(),
     );
     this.gossip = this.createGossip(gossipAddress);
-    this.questions = AgeQuestions.create({
+    this.ageQueries = AgeQuestions.create({
       socket,
-      getSources: () => this.findAddresses(options.getSourceIds()),
-      getWord: () => this.getWord(),
+      getSources: () => this.getGossipAddresses(options.getSourceIds()),
+      getWord: () => this.getPublicationSummary(),
       onWord: (sender, word, askedAt) => {
         const host = this.gossip.hosts.getHost(sender);
-        if (host) this.takeWord(host.entry, word, askedAt);
+        if (host) this.reconcilePublication(host.entry, word, askedAt);
       },
     });
     this.directory = PrefixDirectory.create({
       socket,
       prefixes: options.chooser.prefixes,
       ownAddress: gossipAddress,
-      getHosts: () => this.getStayingAddresses(),
+      getHosts: () => this.getNonDrainingAddresses(),
     });
     this.crashGossip = this.createCrashGossip();
   }
@@ -74,15 +74,15 @@
   /** Opens the link.
    * @param options What it needs.
    * @throws The system's error where its address can't be listened on. */
-  static async create(options: FleetLinkOptions): Promise<FleetLink> {
+  static async create(options: PeerNetworkOptions): Promise<PeerNetwork> {
     const { logger, metrics, getSettings } = options;
     const { gossipAddress } = getSettings();
     const socket = await DatagramSocket.create(
       gossipAddress,
       logger,
-      (direction, bytes) => metrics.noteDatagram(direction, bytes),
+      (direction, bytes) => metrics.recordDatagram(direction, bytes),
     );
-    return new FleetLink(options, socket);
+    return new PeerNetwork(options, socket);
   }
 
   /** The other hosts that are heard. */
@@ -92,7 +92,7 @@
 
   /** Hosts that may share a budget of the fleet, this one too: all that are remembered, for those that are lost here may live
    * elsewhere. */
-  countSharingHosts(): number {
+  countBudgetHosts(): number {
     return 1 + this.gossip.hosts.size;
   }
 
@@ -102,12 +102,12 @@
   }
 
   /** Tells other hosts soon which requests were under way on upstreams that crashed. */
-  tellCrashes(): void {
+  announceCrashes(): void {
     this.crashGossip.announce();
   }
 
   /** Tells other hosts soon which engines were sent which parts of prompts. */
-  tellFacts(): void {
+  announcePrefixUpdates(): void {
     if (this.gossip.isLargeFleet) {
       this.directory.tell(this.options.chooser.prefixes.takeAllFacts());
     } else this.gossip.announce();
@@ -115,14 +115,14 @@
 
   /** In a large fleet, finds out which engines keep a part that is not known of here; nothing where nobody is asked.
    * @param part Short name of the part. */
-  learnPart(part: number): Promise<void> | undefined {
+  lookUpPart(part: number): Promise<void> | undefined {
     return this.gossip.isLargeFleet ? this.directory.learn(part) : undefined;
   }
 
   /** Ends the link. */
   async close(): Promise<void> {
     this.gossip.close();
-    this.questions.close();
+    this.ageQueries.close();
     this.directory.close();
     this.crashGossip.close();
     this.socket.close();
@@ -143,8 +143,8 @@
       hasFacts: () => prefixes.hasUntold,
       onFacts: (facts) => prefixes.learn(facts, readClock()),
       onEntry: (entry, heardAt, askedAt) =>
-        this.takeEntry(entry, heardAt, askedAt),
-      readHosts: (host, done) => void this.hostExchange.ask(host).then(done),
+        this.handleEntry(entry, heardAt, askedAt),
+      readHosts: (host, done) => void this.hostExchange.fetch(host).then(done),
     });
   }
 
@@ -162,8 +162,8 @@
     });
   }
 
-  private getWord(): PublicationWord {
-    const { ageMs, digest, revision } = this.options.keeper;
+  private getPublicationSummary(): PublicationWord {
+    const { ageMs, digest, revision } = this.options.published;
     const publicationAgeMs = Number.isFinite(ageMs) ? ageMs : -1;
     return { digest, revision, publicationAgeMs };
   }
@@ -179,25 +179,29 @@
       callerAddress,
       hall,
       phase: getPhase(),
-      ...this.getWord(),
+      ...this.getPublicationSummary(),
       loads: chooser.loads.getOwn(chooser.upstreams.getAll()),
     };
   }
 
-  private takeEntry(entry: PeerEntry, heardAt: number, askedAt?: number): void {
+  private handleEntry(
+    entry: PeerEntry,
+    heardAt: number,
+    askedAt?: number,
+  ): void {
     const { loads } = this.options.chooser;
-    recordToldLoads(loads, entry, heardAt, this.gossip.isLargeFleet);
-    if (askedAt !== undefined) this.takeWord(entry, entry, askedAt);
+    recordPeerLoads(loads, entry, heardAt, this.gossip.isLargeFleet);
+    if (askedAt !== undefined) this.reconcilePublication(entry, entry, askedAt);
   }
 
   /** Takes what another host says of the publication: where it knows the same, what it knows is as new here as there,
    * and where it knows more it is asked for that. */
-  private takeWord(
+  private reconcilePublication(
     host: PeerEntry,
     word: PublicationWord,
     askedAt: number,
   ): void {
-    const { keeper, publicationExchange } = this.options;
+    const { published: keeper, publicationExchange } = this.options;
     const { digest, revision, publicationAgeMs } = word;
     if (publicationAgeMs < 0) return;
     if (digest === keeper.digest) {
@@ -206,11 +210,11 @@
     }
     const isFresher = publicationAgeMs < keeper.ageMs ||
       revision > keeper.revision;
-    if (isFresher) void publicationExchange.ask(host.id, host.peerAddress);
+    if (isFresher) void publicationExchange.fetch(host.id, host.peerAddress);
   }
 
   /** Gossip addresses of hosts to ask; none in a small fleet, where each datagram tells what they would answer. */
-  private findAddresses(ids: readonly string[]): string[] {
+  private getGossipAddresses(ids: readonly string[]): string[] {
     if (!this.gossip.isLargeFleet) return [];
     const addresses = new Map(
       this.getLiveHosts().map(({ entry }) => [entry.id, entry.gossipAddress]),
@@ -218,7 +222,7 @@
     return ids.flatMap((id) => addresses.get(id) ?? []);
   }
 
-  private getStayingAddresses(): string[] {
+  private getNonDrainingAddresses(): string[] {
     return this.getLiveHosts().filter(({ entry }) => entry.phase !== "draining")
       .map(({ entry }) => entry.gossipAddress);
   }
--- a/src/gateway/prefix_exchange.ts
+++ b/src/gateway/prefix_exchange.ts
@@ -9,13 +9,13 @@
 export const PREFIXES_PATH = "/prefixes";
 
 /** Facts in one answer: some tens of kilobytes. */
-const MAX_FACTS = 4_000;
+const MAX_ENTRIES = 4_000;
 /** Time for a host's answer in milliseconds; the first requests after a start do not wait longer. */
-const ANSWER_TIMEOUT_MS = 300;
+const RESPONSE_TIMEOUT_MS = 300;
 
 /** Asks other hosts which engines keep which parts of prompts, and answers them. */
 export class PrefixExchange {
-  private readonly client = PackedClient.create(ANSWER_TIMEOUT_MS);
+  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
 
   private constructor(
     private readonly prefixes: PrefixIndex,
@@ -31,18 +31,18 @@
 
   /** Answers a host; 204 where this host has just started too and knows only a part.
    * @param response Where the answer is written. */
-  answer(response: ServerResponse): void {
+  respond(response: ServerResponse): void {
     if (!this.prefixes.isComplete) {
       response.writeHead(204).end();
       return;
     }
-    const facts = this.prefixes.getRecent(MAX_FACTS, readClock());
+    const facts = this.prefixes.getRecent(MAX_ENTRIES, readClock());
     answerPacked(response, facts);
   }
 
   /** Asks a host; returns whether it knew.
    * @param address Where it answers other hosts, as ip:port. */
-  async ask(address: string): Promise<boolean> {
+  async fetch(address: string): Promise<boolean> {
     try {
       const answer = await this.client.ask(address, PREFIXES_PATH);
       if (answer === undefined) return false;
--- a/src/gateway/prefix_recovery.ts
+++ b/src/gateway/prefix_recovery.ts
@@ -10,19 +10,19 @@
 
 /** Time after the first configuration in which other hosts may be heard, in milliseconds: a round of gossip and a
  * little. */
-const WAIT_FOR_HOSTS_MS = 260;
+const MIN_DISCOVERY_WAIT_MS = 260;
 /** Time in which no further host is heard once all are, in milliseconds. */
-const HOSTS_STEADY_MS = 130;
+const DISCOVERY_STABLE_MS = 130;
 /** Longest wait until that is so, in milliseconds. */
-const MAX_WAIT_FOR_HOSTS_MS = 2_000;
+const MAX_DISCOVERY_WAIT_MS = 2_000;
 /** Time in which other hosts tell what they learned from their engines, in milliseconds; before, this one knows only a
  * part and does not answer others. */
-const WAIT_FOR_FACTS_MS = 1_500;
+const PEER_UPDATES_WAIT_MS = 1_500;
 /** Engines up to which they are asked for their lists, each of which holds up its engine and has its price. Their number is
  * known at once, while a host that has just started hears few of the others. */
-const MAX_ENGINES_ASKED = 24;
+const MAX_LISTED_ENGINES = 24;
 /** Hosts that are asked at most. */
-const MAX_HOSTS_ASKED = 3;
+const MAX_QUERIED_HOSTS = 3;
 
 /** What the recovery needs. */
 export interface PrefixRecoveryOptions {
@@ -51,23 +51,23 @@
 
   /** Learns what is to be known. */
   async run(): Promise<void> {
-    const hosts = await this.waitForHosts();
-    const isKnown = await this.askHosts(hosts);
-    const isWorthIt = this.options.getEngines().length <= MAX_ENGINES_ASKED;
+    const hosts = await this.waitForStableHosts();
+    const isKnown = await this.fetchFromHosts(hosts);
+    const isWorthIt = this.options.getEngines().length <= MAX_LISTED_ENGINES;
     if (!isKnown && isWorthIt) {
-      await this.askEngines(hosts.map((host) => host.id));
-      await delay(WAIT_FOR_FACTS_MS);
+      await this.recoverFromEngines(hosts.map((host) => host.id));
+      await delay(PEER_UPDATES_WAIT_MS);
     }
     this.options.prefixes.markComplete();
   }
 
   /** Waits until no further host is heard: one that believes itself alone would ask engines that others ask too. */
-  private async waitForHosts(): Promise<readonly PeerEntry[]> {
-    const endsAt = readClock() + MAX_WAIT_FOR_HOSTS_MS;
-    await delay(WAIT_FOR_HOSTS_MS);
+  private async waitForStableHosts(): Promise<readonly PeerEntry[]> {
+    const endsAt = readClock() + MAX_DISCOVERY_WAIT_MS;
+    await delay(MIN_DISCOVERY_WAIT_MS);
     let hosts = this.options.getHosts();
     while (readClock() < endsAt) {
-      await delay(HOSTS_STEADY_MS);
+      await delay(DISCOVERY_STABLE_MS);
       const later = this.options.getHosts();
       if (later.length === hosts.length) return later;
       hosts = later;
@@ -75,23 +75,23 @@
     return hosts;
   }
 
-  private async askHosts(hosts: readonly PeerEntry[]): Promise<boolean> {
+  private async fetchFromHosts(hosts: readonly PeerEntry[]): Promise<boolean> {
     const { exchange } = this.options;
-    const asked = hosts.slice(0, MAX_HOSTS_ASKED).map((host) =>
-      exchange.ask(host.peerAddress)
+    const asked = hosts.slice(0, MAX_QUERIED_HOSTS).map((host) =>
+      exchange.fetch(host.peerAddress)
     );
     return (await Promise.all(asked)).includes(true);
   }
 
-  private async askEngines(hostIds: readonly string[]): Promise<void> {
+  private async recoverFromEngines(hostIds: readonly string[]): Promise<void> {
     const { hostId, getEngines } = this.options;
     const own = getEngines().filter((engine) =>
       rankByRendezvous(engine.id, [...hostIds, hostId])[0] === hostId
     );
-    await Promise.all(own.map((engine) => this.ask(engine)));
+    await Promise.all(own.map((engine) => this.recoverFromEngine(engine)));
   }
 
-  private async ask(engine: Upstream): Promise<void> {
+  private async recoverFromEngine(engine: Upstream): Promise<void> {
     const { inventory, prefixes, logger } = this.options;
     try {
       const parts = await listParts(inventory, engine);
--- a/src/gateway/publication_exchange.ts
+++ b/src/gateway/publication_exchange.ts
@@ -15,10 +15,10 @@
 export const PUBLICATION_PATH = "/publication";
 
 /** Version that a host names while it has no configuration. */
-const NO_VERSION = "none";
+const NO_CONFIGURATION_VERSION = "none";
 /** Time for a host's answer in milliseconds, and others can be asked after it: several hosts may read a configuration of
  * some thousand routes at a time over a link of some megabits. */
-const ANSWER_TIMEOUT_MS = 1_500;
+const RESPONSE_TIMEOUT_MS = 1_500;
 
 const stateSchema = z.object({
   /** The configuration as `packConfiguration` writes it. */
@@ -39,13 +39,13 @@
 
 /** Asks other hosts for what is published, and answers them. */
 export class PublicationExchange {
-  private readonly client = PackedClient.create(ANSWER_TIMEOUT_MS);
-  private isAsking = false;
-  private needsAll = false;
-  private packed: { version: number; bytes: Buffer } | undefined;
+  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
+  private isFetching = false;
+  private needsFullState = false;
+  private packedConfiguration: { version: number; bytes: Buffer } | undefined;
 
   private constructor(
-    private readonly keeper: PublicationKeeper,
+    private readonly published: PublicationKeeper,
     private readonly logger: Logger,
   ) {}
 
@@ -63,16 +63,16 @@
    * @param response Where the answer is written.
    * @param query With `version`, that of the configuration which the host has, and `after`, the revision up to which it
    * misses no change of upstreams. */
-  answer(response: ServerResponse, query: URLSearchParams): void {
+  respond(response: ServerResponse, query: URLSearchParams): void {
     const after = Number(query.get("after") ?? 0);
-    const { ageMs, configuration, ...state } = this.keeper.getState(after);
+    const { ageMs, configuration, ...state } = this.published.getState(after);
     const isKnown = String(configuration?.version) === query.get("version");
     answerPacked(response, {
       configuration: configuration && !isKnown
         ? this.pack(configuration)
         : undefined,
       ...state,
-      digest: this.keeper.digest,
+      digest: this.published.digest,
       ageMs: Number.isFinite(ageMs) ? ageMs : undefined,
     });
   }
@@ -80,18 +80,18 @@
   /** Asks a host for what it knows and may be missing here, unless another is being asked: all would send the same.
    * @param peerId The host.
    * @param address Where it answers other hosts, as ip:port. */
-  async ask(peerId: string, address: string): Promise<void> {
-    if (this.isAsking) return;
-    this.isAsking = true;
+  async fetch(peerId: string, address: string): Promise<void> {
+    if (this.isFetching) return;
+    this.isFetching = true;
     try {
-      await this.take(peerId, address, readClock());
+      await this.fetchState(peerId, address, readClock());
     } catch (error) {
       this.logger.info(
         { peer: peerId, reason: (error as Error).message },
         "publication_not_learned",
       );
     } finally {
-      this.isAsking = false;
+      this.isFetching = false;
     }
   }
 
@@ -103,19 +103,23 @@
   /** The configuration as other hosts read it; made once for each version, for many ask at the same time. */
   private pack(configuration: PublishedConfiguration): Buffer {
     const { version } = configuration;
-    if (this.packed?.version !== version) {
-      this.packed = { version, bytes: packConfiguration(configuration) };
+    if (this.packedConfiguration?.version !== version) {
+      this.packedConfiguration = {
+        version,
+        bytes: packConfiguration(configuration),
+      };
     }
-    return this.packed.bytes;
+    return this.packedConfiguration.bytes;
   }
 
-  private async take(
+  private async fetchState(
     peerId: string,
     address: string,
     askedAt: number,
   ): Promise<void> {
-    const version = this.keeper.routes?.version ?? NO_VERSION;
-    const after = this.needsAll ? 0 : this.keeper.completeUpTo;
+    const version = this.published.routes?.version ??
+      NO_CONFIGURATION_VERSION;
+    const after = this.needsFullState ? 0 : this.published.completeUpTo;
     const path = `${PUBLICATION_PATH}?version=${version}&after=${after}`;
     const { configuration, digest, ...rest } = stateSchema.parse(
       await this.client.ask(address, path),
@@ -124,8 +128,8 @@
       ...rest,
       configuration: configuration && unpackConfiguration(configuration),
     };
-    this.keeper.takeState(state, peerId, askedAt);
+    this.published.takeState(state, peerId, askedAt);
     // Where the two still differ, more may be missing here than is believed; the next answer is to hold everything.
-    this.needsAll = digest !== this.keeper.digest;
+    this.needsFullState = digest !== this.published.digest;
   }
 }
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -23,7 +23,7 @@
 
 /** Time over which callers that were refused come back after a backoff, in milliseconds: as long as an upstream takes for the
  * first requests, one and then twice as many each time. */
-const RETURN_SPREAD_MS = 250;
+const RETRY_AFTER_JITTER_MS = 250;
 
 /** The settings that choices follow. */
 export type ChooserSettings = Pick<
@@ -46,11 +46,11 @@
   /** Hosts that are heard, this one too. */
   countHosts: () => number;
   /** Hosts that may share a budget of the fleet, also those that were lost lately. */
-  countSharingHosts: () => number;
+  countBudgetHosts: () => number;
   /** Monotonic milliseconds up to which a missing entry may only have lapsed. */
   getLapseEndsAt: () => number;
   /** Told when there are facts about prompts for other hosts. */
-  onFacts: () => void;
+  onPrefixUpdates: () => void;
   /** Told of an upstream that has started again under its id. */
   onRestart: (before: Upstream) => void;
   /** Told of what an upstream has said of whether it takes requests, where that changed. */
@@ -60,7 +60,7 @@
   /** Told of each send, with what was known of the requests on the upstream. */
   onSend: (choice: UpstreamChoice, load: LoadSnapshot) => void;
   /** Told of each sign of an upstream's health. */
-  onSign: (sign: HealthSign) => void;
+  onHealthSignal: (sign: HealthSign) => void;
   /** Reads monotonic milliseconds; the process's clock by default. */
   readNow?: () => number;
   /** Unseeded by default. */
@@ -78,7 +78,7 @@
   private readonly readNow: () => number;
   private readonly random: Random;
   private readonly admission: StartAdmission;
-  private readonly retryShares = new Map<string, RetryShare>();
+  private readonly retryBudgets = new Map<string, RetryShare>();
 
   private constructor(private readonly options: UpstreamChooserOptions) {
     this.readNow = options.readNow ?? readClock;
@@ -106,17 +106,17 @@
       choose: (call, tried) => this.choose(call, tried),
       getRetryAfterMs: (service) => this.getRetryAfterMs(service),
       placePrompt: (call, target) => this.placePrompt(call, target),
-      noteSend: (choice) => this.noteSend(choice),
+      noteSend: (choice) => this.recordSend(choice),
       noteCompleted: ({ service, route }, durationMs) =>
         this.admission.noteCompleted(service, route.name, durationMs),
       spendRetry: (service) => this.spendRetry(service),
-      noteHealth: (upstream, sign) => this.noteHealth(upstream, sign),
+      noteHealth: (upstream, sign) => this.recordHealthSignal(upstream, sign),
       noteMoved: (upstream) => this.upstreams.drop(upstream),
     };
   }
 
   /** Engines of the services that can take from each other what they keep. */
-  getFetchingEngines(): Upstream[] {
+  getFetchCapableEngines(): Upstream[] {
     return [...this.upstreams.getAll()].filter((upstream) =>
       this.options.getService(upstream.published.service)?.canFetch
     );
@@ -124,22 +124,22 @@
 
   /** Counts a call that is sent for the first time, from which its service's retries grow.
    * @param service Name of the service. */
-  noteFirstSend(service: string): void {
-    this.getRetryShare(service).noteRequest(this.readNow());
+  recordRequest(service: string): void {
+    this.getRetryBudget(service).noteRequest(this.readNow());
   }
 
   /** Begins the counts of retries anew, for the settings they follow have changed. */
-  resetRetries(): void {
-    this.retryShares.clear();
+  resetRetryBudgets(): void {
+    this.retryBudgets.clear();
   }
 
   /** Takes that an upstream has crashed: it gets nothing for a while, and gives others nothing of what it kept.
    * @param shortName Short name of the start. */
-  noteCrashed(shortName: number): void {
+  markCrashed(shortName: number): void {
     const upstream = this.upstreams.findByShortName(shortName);
     if (!upstream) return;
     upstream.crashedAt = this.readNow();
-    this.noteHealth(upstream, "unreachable");
+    this.recordHealthSignal(upstream, "unreachable");
   }
 
   /** Closes the connections to all upstreams. */
@@ -158,7 +158,7 @@
     const now = this.readNow();
     return chooseUpstream({
       candidates: this.getCandidates(call.service),
-      present: this.getWithinReach(call.service, now),
+      present: this.getReachable(call.service, now),
       boundMultiple,
       service: call.service,
       route: call.route.name,
@@ -175,7 +175,7 @@
   }
 
   /** Upstreams of a service that are there, whether or not they take new requests. */
-  private getWithinReach(service: string, now: number): Upstream[] {
+  private getReachable(service: string, now: number): Upstream[] {
     return this.upstreams.getPresent(service).filter((upstream) =>
       upstream.isWithinReach(now)
     );
@@ -187,7 +187,7 @@
   private getRetryAfterMs(service: string): number | undefined {
     const backoffMs = this.upstreams.getBackoffMs(service);
     if (backoffMs === undefined) return undefined;
-    return backoffMs + this.random.integer(0, RETURN_SPREAD_MS);
+    return backoffMs + this.random.integer(0, RETRY_AFTER_JITTER_MS);
   }
 
   /** What an engine keeps of a call's prompt, and from where it should fetch the rest, or nothing where the call shares no
@@ -205,10 +205,10 @@
     const kept = sharedParts.filter(({ name }) =>
       this.prefixes.isKept(name, target.shortName, now)
     );
-    const source = this.findSource(sharedParts, service, target, now);
+    const source = this.findPrefixSource(sharedParts, service, target, now);
     const isFetched = source !== undefined;
     this.prefixes.noteSent(sharedParts, target.shortName, isFetched, now);
-    if (this.prefixes.hasUntold) this.options.onFacts();
+    if (this.prefixes.hasUntold) this.options.onPrefixUpdates();
     return {
       part: deepest.name,
       sharedTokens: sumTokens(sharedParts),
@@ -217,18 +217,18 @@
     };
   }
 
-  private findSource(
+  private findPrefixSource(
     parts: readonly SentPart[],
     service: string,
     target: Upstream,
     now: number,
   ): Upstream | undefined {
     if (!this.options.getService(service)?.canFetch) return undefined;
-    const engines = this.getWithinReach(service, now);
+    const engines = this.getReachable(service, now);
     return findFetchSource(parts, target, engines, this.prefixes, now);
   }
 
-  private noteSend(choice: UpstreamChoice): LoadSnapshot {
+  private recordSend(choice: UpstreamChoice): LoadSnapshot {
     const load = this.loads.getSnapshot(choice.upstream, this.readNow());
     this.options.onSend(choice, load);
     return load;
@@ -237,8 +237,8 @@
   /** Records how an attempt at an upstream ended.
    * @param upstream The upstream.
    * @param sign What the attempt says of its health. */
-  private noteHealth(upstream: Upstream, sign: HealthSign): void {
-    this.options.onSign(sign);
+  private recordHealthSignal(upstream: Upstream, sign: HealthSign): void {
+    this.options.onHealthSignal(sign);
     const ejectedMs = upstream.health.note(sign, this.readNow());
     if (ejectedMs === 0) return;
     this.options.logger.warn(
@@ -250,7 +250,7 @@
   /** Takes a retry of a service; returns whether there was one left.
    * @param service Name of the service. */
   private spendRetry(service: string): boolean {
-    return this.getRetryShare(service).spend(this.readNow());
+    return this.getRetryBudget(service).spend(this.readNow());
   }
 
   /** Upstreams of a service that may get a request, but for those on which this host has used its share of their
@@ -263,18 +263,18 @@
     return serving.filter((upstream) => upstream.ownRequests < share);
   }
 
-  private getRetryShare(service: string): RetryShare {
-    const known = this.retryShares.get(service);
+  private getRetryBudget(service: string): RetryShare {
+    const known = this.retryBudgets.get(service);
     if (known) return known;
     const settings = this.options.getSettings();
     const share = RetryShare.create({
       ratio: settings.retryRatio,
       extra: settings.retryExtra,
       windowMs: settings.retryWindowMs,
-      countHosts: this.options.countSharingHosts,
+      countHosts: this.options.countBudgetHosts,
       random: this.random,
     });
-    this.retryShares.set(service, share);
+    this.retryBudgets.set(service, share);
     return share;
   }
 }
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -6,7 +6,7 @@
   type PromptTrafficOptions,
 } from "../../fakes/prompt_traffic.ts";
 import type { RoutedCall } from "../../src/forward/routed_call.ts";
-import { recordToldLoads } from "../../src/gateway/record_told_loads.ts";
+import { recordPeerLoads } from "../../src/gateway/record_told_loads.ts";
 import { UpstreamChooser } from "../../src/gateway/upstream_chooser.ts";
 import type { Datagram, DatagramType } from "../../src/peers/datagram.ts";
 import type { DatagramHandler } from "../../src/peers/datagram_socket.ts";
@@ -141,7 +141,7 @@
       hasFacts: () => chooser.prefixes.hasUntold,
       onFacts: (facts) => chooser.prefixes.learn(facts, timeline.read()),
       onEntry: (entry, heardAt) =>
-        recordToldLoads(chooser.loads, entry, heardAt, gossip.isLargeFleet),
+        recordPeerLoads(chooser.loads, entry, heardAt, gossip.isLargeFleet),
       readHosts: (other, done) => this.readHosts(other, done),
       timeline,
       random: random.fork(),
@@ -173,14 +173,14 @@
       }),
       getService: () => undefined,
       countHosts: () => 1 + this.getLiveCount(index),
-      countSharingHosts: () => this.options.hosts,
+      countBudgetHosts: () => this.options.hosts,
       getLapseEndsAt: () => -Infinity,
-      onFacts: () => this.tellFacts(index),
+      onPrefixUpdates: () => this.tellFacts(index),
       onRestart: () => undefined,
       onAvailability: () => undefined,
       onDrop: () => undefined,
       onSend: () => undefined,
-      onSign: () => undefined,
+      onHealthSignal: () => undefined,
       readNow: () => this.timeline.read(),
       random: this.random.fork(),
     });
