--- a/src/gateway/call_handler.ts
+++ b/src/gateway/call_handler.ts
@@ -20,11 +20,11 @@
 import type { Upstream } from "../upstreams/upstream.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 
-/** Time for which a request waits at most for the first configuration after a start, in milliseconds: below a quarter
- * of most objectives beyond what a first read of the platform takes. */
+/** Maximum time that a request waits for the first configuration after a start. Longer than a first read of the
+ * platform takes, and less than a quarter of most routes' latency objectives. */
 const INITIAL_CONFIGURATION_TIMEOUT_MS = 250;
 
-/** Limits until the first configuration tells others. */
+/** Limits that apply until the first configuration is received. */
 const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
@@ -32,29 +32,29 @@
   idleTimeoutMs: 15_000,
 };
 
-/** What the handler needs of the rest of the process. */
+/** Dependencies and callbacks of a {@link CallHandler}. */
 export interface CallHandlerOptions {
   logger: Logger;
   metrics: GatewayMetrics;
   codec: HeaderCodec;
   getRoutes: () => RouteTable | undefined;
-  /** Resolves with the first configuration. */
+  /** Resolves when the first configuration is received. */
   initialRoutes: Promise<void>;
-  /** Whether what is known of keys is new enough to honour them. */
+  /** Whether the known keys are recent enough to be accepted. */
   mayAcceptKeys: () => boolean;
-  /** Age of what is known, in milliseconds, for the log. */
+  /** Age of the known publication in milliseconds, for the log. */
   getPublicationAgeMs: () => number;
-  /** Whether connections are to be closed after their answer. */
+  /** Whether callers' connections are closed after their responses. */
   isLeaving: () => boolean;
-  /** Told of each request that is sent on for the first time. */
+  /** Called once for each admitted request, before its first attempt. */
   onRequestAdmitted: (service: string) => void;
-  /** Finds out which engines keep a part of a prompt; nothing where there is nobody to ask. */
+  /** Looks up which engines have a prompt part cached; returns undefined if no other host needs to be asked. */
   lookUpPart: (part: number) => Promise<void> | undefined;
   upstreamAccess: UpstreamAccess;
   guard: CrashGuard;
 }
 
-/** Takes callers' requests from their heads to their runs. */
+/** Admits callers' requests, reads their bodies and starts their runs. */
 export class CallHandler {
   private readonly runs = new Set<CallRun>();
   private pendingAdmissions = 0;
@@ -62,19 +62,19 @@
   private constructor(private readonly options: CallHandlerOptions) {}
 
   /** Creates a handler.
-   * @param options What it needs. */
+   * @param options Its dependencies and callbacks. */
   static create(options: CallHandlerOptions): CallHandler {
     return new CallHandler(options);
   }
 
-  /** Requests that have not been answered. */
+  /** Number of requests that have not been answered. */
   get openCalls(): number {
     return this.runs.size + this.pendingAdmissions;
   }
 
-  /** Takes a request.
+  /** Handles a request of a caller.
    * @param request The request.
-   * @param response Where its answer is written. */
+   * @param response The response to it. */
   handle(request: IncomingMessage, response: ServerResponse): void {
     const receivedAt = readClock();
     const headers = this.options.codec.readCaller(request.rawHeaders);
@@ -86,7 +86,7 @@
       );
   }
 
-  /** Takes over a configuration for the requests under way.
+  /** Applies a configuration to the requests in progress.
    * @param routes The routes in force. */
   applyRoutes(routes: RouteTable): void {
     for (const run of this.runs) {
@@ -94,16 +94,16 @@
     }
   }
 
-  /** Ends the unanswered runs of a request that is held back from now on.
-   * @param fingerprint Its fingerprint. */
+  /** Ends the unanswered runs of a request that is held from now on because it crashes upstreams.
+   * @param fingerprint Fingerprint of the request. */
   endHeldRuns(fingerprint: number): void {
     for (const run of [...this.runs]) {
       if (run.call.fingerprint === fingerprint) run.holdBack();
     }
   }
 
-  /** Fails the attempts on a start of an upstream that is no more.
-   * @param upstream The start. */
+  /** Fails the attempts on an upstream process that no longer runs.
+   * @param upstream The upstream as it was before its restart. */
   failAttemptsOn(upstream: Upstream): void {
     for (const run of [...this.runs]) run.loseUpstream(upstream);
   }
@@ -121,9 +121,9 @@
       checkHeaderSize(request, limits);
       const admitted = this.admit(request, headers, receivedAt);
       const deepest = admitted.sharedParts.at(-1);
-      const learning = deepest && this.options.lookUpPart(deepest.name);
+      const lookup = deepest && this.options.lookUpPart(deepest.name);
       const body = await readBody(request, limits.maxBodyBytes);
-      if (learning) await learning;
+      if (lookup) await lookup;
       if (response.destroyed) return;
       this.start(admitted, body, answer, response);
     } catch (thrown) {
@@ -132,11 +132,14 @@
     }
   }
 
-  /** Waits a little where there is no configuration yet; it is asked for as soon as the process starts. */
+  /** Waits briefly if there is no configuration yet; it is requested as soon as the process starts. */
   private async waitForInitialRoutes(): Promise<void> {
     if (this.options.getRoutes()) return;
-    const { initialRoutes: firstRoutes } = this.options;
-    await Promise.race([firstRoutes, delay(INITIAL_CONFIGURATION_TIMEOUT_MS)]);
+    const { initialRoutes } = this.options;
+    await Promise.race([
+      initialRoutes,
+      delay(INITIAL_CONFIGURATION_TIMEOUT_MS),
+    ]);
   }
 
   private admit(
@@ -221,8 +224,8 @@
   }
 }
 
-function buildRoutedCall(admitted: AdmittedCall, read: Buffer): RoutedCall {
-  const body = read.length > 0 ? read : undefined;
+function buildRoutedCall(admitted: AdmittedCall, bytes: Buffer): RoutedCall {
+  const body = bytes.length > 0 ? bytes : undefined;
   const { method, path, customer, headers: { host } } = admitted;
   const identity = { method, host, path, customer, body };
   return { ...admitted, body, fingerprint: fingerprintRequest(identity) };
--- a/src/gateway/caller_surface.ts
+++ b/src/gateway/caller_surface.ts
@@ -1,11 +1,12 @@
-/** How callers and the platform ask a gateway about itself; an adapter implements it for one platform. */
+/** The paths and formats in which a gateway reports its readiness and the addresses to use. An adapter implements them
+ * for one platform. */
 export interface CallerSurface {
-  /** Path under which the platform asks whether the host is ready. */
+  /** Path of the platform's readiness check. */
   readinessPath: string;
-  /** Path under which callers ask which addresses to use. */
+  /** Path under which callers look up the addresses to use. */
   locatePath: string;
-  /** Writes the JSON body of an answer with addresses.
+  /** Formats the JSON body of an address list.
    * @param addresses The addresses, each as ip:port.
-   * @param lifetimeMs Time for which callers may keep them, in milliseconds. */
-  writeAddresses(addresses: readonly string[], lifetimeMs: number): string;
+   * @param ttlMs Time for which callers may cache the list, in milliseconds. */
+  writeAddresses(addresses: readonly string[], ttlMs: number): string;
 }
--- a/src/gateway/choose_addresses.ts
+++ b/src/gateway/choose_addresses.ts
@@ -1,30 +1,30 @@
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 import type { KnownHost } from "../peers/known_host.ts";
 
-/** Most addresses in one answer. */
+/** Maximum number of addresses in one response. */
 const MAX_ADDRESSES = 64;
 
-/** What an answer with addresses is made from. */
+/** Input of {@link chooseAddresses}. */
 export interface ChooseAddressesOptions {
-  /** Address of this host, and whether it takes requests. */
+  /** Address of this host, and whether it accepts requests. */
   own: { callerAddress: string; isReady: boolean };
-  /** Other hosts that are taken for live. */
+  /** The other live hosts. */
   live: readonly KnownHost[];
 }
 
-/** The addresses that callers should use: of hosts that are ready, this one first. Where there are more than fit, each host
- * names others of them, so that all are named about as often. Where none is known there are none, so that the caller asks
- * another host or keeps the addresses it has.
- * @param options What the answer is made from. */
+/** Chooses the addresses that callers should use: those of ready hosts, this one first. If there are more than fit into
+ * one response, each host returns a different subset, so that all hosts are returned about equally often. The list is
+ * empty if no host is ready, so that the caller asks another host or keeps the addresses it has.
+ * @param options This host and the other live hosts. */
 export function chooseAddresses(options: ChooseAddressesOptions): string[] {
   const { own, live } = options;
   const others = live.filter((host) => host.entry.phase === "ready").map((
     host,
   ) => host.entry.callerAddress);
   const ready = own.isReady ? [own.callerAddress] : [];
-  const left = MAX_ADDRESSES - ready.length;
-  const named = others.length <= left
+  const remaining = MAX_ADDRESSES - ready.length;
+  const chosen = others.length <= remaining
     ? others
-    : rankByRendezvous(own.callerAddress, others).slice(0, left);
-  return [...ready, ...named];
+    : rankByRendezvous(own.callerAddress, others).slice(0, remaining);
+  return [...ready, ...chosen];
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -12,21 +12,22 @@
 import type { EngineInventory } from "../upstreams/engine_inventory.ts";
 import type { CallerSurface } from "./caller_surface.ts";
 import { CallHandler } from "./call_handler.ts";
-import { PeerNetwork } from "./peer_network.ts";
 import { GatewayEndpoints } from "./gateway_endpoints.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import { type GatewaySettings, pickRestartOnly } from "./gateway_settings.ts";
 import { GracefulStop } from "./planned_stop.ts";
+import { PeerNetwork } from "./peer_network.ts";
 import { PrefixExchange } from "./prefix_exchange.ts";
 import { PrefixRecovery } from "./prefix_recovery.ts";
 import { PublicationExchange } from "./publication_exchange.ts";
 import { PublicationWatch } from "./publication_watch.ts";
 import { UpstreamChooser } from "./upstream_chooser.ts";
 
-/** Part of the bound on old keys that is used; the rest is for a request's way to its upstream. */
+/** Fraction of the key revocation limit after which keys are no longer accepted; the rest covers the time that a
+ * request takes to reach its upstream. */
 const KEY_AGE_LIMIT_FRACTION = 0.8;
 
-/** What a gateway is made of beside its settings. */
+/** The dependencies of a gateway that its settings do not describe. */
 export interface GatewayDependencies {
   logger: Logger;
   feed: PublicationFeed;
@@ -35,8 +36,8 @@
   surface: CallerSurface;
 }
 
-/** One host of the fleet: takes callers' requests and sends them to upstreams itself. It puts the tasks together: what is
- * published, other hosts, upstreams and the answers to callers. */
+/** One host of the fleet: accepts callers' requests and forwards them to upstreams itself. This class wires together
+ * the publication, the communication with other hosts, the choice of upstreams and the handling of requests. */
 export class Gateway {
   private readonly logger: Logger;
   private readonly metrics = GatewayMetrics.create();
@@ -87,20 +88,20 @@
     this.handler = this.createHandler();
   }
 
-  /** Starts a gateway; it takes requests as soon as it has a configuration.
+  /** Starts a gateway, which serves requests as soon as it has a configuration.
    * @param settings The settings.
-   * @param parts What it is made of. */
+   * @param dependencies The adapters and the logger. */
   static async start(
     settings: GatewaySettings,
-    parts: GatewayDependencies,
+    dependencies: GatewayDependencies,
   ): Promise<Gateway> {
-    const gateway = new Gateway(settings, parts);
+    const gateway = new Gateway(settings, dependencies);
     await gateway.open();
     return gateway;
   }
 
-  /** Takes over changed settings; addresses hold until the next start.
-   * @param settings The settings. */
+  /** Applies changed settings. Those that {@link pickRestartOnly} names keep their values until the next start.
+   * @param settings The new settings. */
   reload(settings: GatewaySettings): void {
     const { seedAddresses } = settings;
     this.logger.info({ seeds: seedAddresses.join(",") }, "settings_reloaded");
@@ -108,8 +109,8 @@
     this.chooser.resetRetryBudgets();
   }
 
-  /** Stops as planned: leaves the answers with addresses, goes on taking requests while callers may keep those, and lets
-   * what runs end. */
+  /** Stops gracefully: withdraws this host from the address lists, keeps accepting requests while callers may still
+   * have it in cached lists, and lets open calls finish. */
   async drain(): Promise<void> {
     if (this.stop.hasStarted) return;
     this.stop.start();
@@ -125,7 +126,7 @@
     await this.close();
   }
 
-  /** Stops at once. */
+  /** Stops immediately, without waiting for open calls. */
   async close(): Promise<void> {
     this.stopClockWatch();
     this.watch?.close();
@@ -143,7 +144,7 @@
   private async open(): Promise<void> {
     const { settings, logger } = this;
     this.watch = this.createWatch();
-    const [server, link, endpoints] = await Promise.all([
+    const [server, peerNetwork, endpoints] = await Promise.all([
       CallServer.create(
         settings.callerAddress,
         logger,
@@ -153,7 +154,7 @@
       this.createEndpoints(),
     ]);
     this.server = server;
-    this.peerNetwork = link;
+    this.peerNetwork = peerNetwork;
     this.endpoints = endpoints;
     if (this.published.routes) server.applyLimits(this.published.routes.limits);
     if (settings.isFirstStart) this.chooser.prefixes.markComplete();
@@ -282,7 +283,7 @@
     return this.published.routes !== undefined && !this.stop.hasStarted;
   }
 
-  /** Whether callers should send requests here: the host is ready and may honour their keys. */
+  /** Whether callers should send requests to this host: it is ready and its knowledge of keys is recent enough. */
   private get isServing(): boolean {
     return this.isReady && this.mayAcceptKeys;
   }
--- a/src/gateway/gateway_endpoints.ts
+++ b/src/gateway/gateway_endpoints.ts
@@ -12,33 +12,34 @@
   type PublicationExchange,
 } from "./publication_exchange.ts";
 
-/** Path under which counters and histograms are served, as Prometheus asks for it. */
+/** Path of the metrics, as Prometheus scrapes them. */
 const METRICS_PATH = "/metrics";
-/** Time for which callers may keep an answer with addresses, in milliseconds: a host that is lost is named for about as
- * long again as it takes to be missed. Half of it doubles the questions and served callers no better. */
+/** Time for which callers may cache an address list. A lost host stays in cached lists for about as long again as its
+ * failure detection takes. Half of it would double the look-ups and serve callers no better. */
 const LOCATE_TTL_MS = 500;
 
-/** What the endpoints answer from. */
+/** Dependencies of the {@link GatewayEndpoints}. */
 export interface GatewayEndpointsOptions {
-  /** The settings in force; the addresses to listen on are read once. */
+  /** Returns the current settings; the addresses to listen on are read once. */
   getSettings: () => GatewaySettings;
   surface: CallerSurface;
   metrics: GatewayMetrics;
   publicationExchange: PublicationExchange;
   prefixExchange: PrefixExchange;
-  /** Tells other hosts all hosts that are known here; undefined until the link to them is open. */
+  /** Returns the exchange of known hosts; undefined until the communication with other hosts has started. */
   getHostExchange: () => HostExchange | undefined;
-  /** Whether the host is up and not stopping. */
+  /** Whether the host has a configuration and is not stopping. */
   isReady: () => boolean;
   /** Whether callers should send requests to this host. */
   isServing: () => boolean;
-  /** Other hosts that are heard. */
+  /** Returns the other live hosts. */
   getLiveHosts: () => readonly KnownHost[];
-  /** Age of what is known, in milliseconds. */
+  /** Age of the known publication in milliseconds. */
   getPublicationAgeMs: () => number;
 }
 
-/** The HTTP endpoints of a gateway beside the callers' requests: readiness, addresses, other hosts and metrics. */
+/** The HTTP endpoints of a gateway other than the one for callers' requests: readiness, address look-up, peers and
+ * metrics. */
 export class GatewayEndpoints {
   private constructor(
     private readonly options: GatewayEndpointsOptions,
@@ -46,17 +47,17 @@
   ) {}
 
   /** Opens the endpoints.
-   * @param options What they answer from.
-   * @throws The system's error where an address can't be listened on. */
+   * @param options Their dependencies.
+   * @throws The system's error if it can't listen on an address. */
   static async create(
     options: GatewayEndpointsOptions,
   ): Promise<GatewayEndpoints> {
-    const opened = new GatewayEndpoints(options);
-    const opening = Object.entries(opened.buildHandlers()).map((
+    const created = new GatewayEndpoints(options);
+    const opening = Object.entries(created.buildHandlers()).map((
       [address, handlers],
     ) => HttpEndpoint.create(address, handlers));
-    opened.endpoints.push(...await Promise.all(opening));
-    return opened;
+    created.endpoints.push(...await Promise.all(opening));
+    return created;
   }
 
   /** Closes the endpoints and their connections. */
@@ -101,9 +102,9 @@
       response.writeHead(503).end();
       return;
     }
-    const lifetimeMs = Math.min(LOCATE_TTL_MS, locateLifetimeLimitMs);
+    const ttlMs = Math.min(LOCATE_TTL_MS, locateLifetimeLimitMs);
     response.writeHead(200, { "content-type": "application/json" });
-    response.end(this.options.surface.writeAddresses(addresses, lifetimeMs));
+    response.end(this.options.surface.writeAddresses(addresses, ttlMs));
   }
 
   private respondHosts(response: ServerResponse): void {
@@ -113,7 +114,7 @@
   }
 
   private async respondMetrics(response: ServerResponse): Promise<void> {
-    const { metrics, getPublicationAgeMs: getAgeMs } = this.options;
-    response.end(await metrics.getText(getAgeMs()));
+    const { metrics, getPublicationAgeMs } = this.options;
+    response.end(await metrics.getText(getPublicationAgeMs()));
   }
 }
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -3,7 +3,7 @@
 import type { ChoiceBasis } from "../upstreams/choose_upstream.ts";
 import type { DatagramDirection } from "../peers/datagram_socket.ts";
 
-/** Bounds of the histogram of a request's time, in seconds. */
+/** Buckets of the request duration histogram. */
 const DURATION_BUCKETS_S = [
   0.01,
   0.025,
@@ -17,10 +17,11 @@
   10,
 ];
 
-/** Bounds of the histogram of the age of counts, in seconds: from a round of gossip to the longest use of a count. */
+/** Buckets of the request count age histogram: from below a gossip round up to the maximum age at which a count is
+ * used. */
 const COUNT_AGE_BUCKETS_S = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.5];
 
-/** Counters and histograms of one gateway, served as text. */
+/** Counters, gauges and histograms of one gateway, served as text. */
 export class GatewayMetrics {
   private readonly registry = new Registry();
   private readonly requests = new Counter({
@@ -98,72 +99,72 @@
 
   private constructor() {}
 
-  /** Creates metrics at zero. */
+  /** Creates metrics that start at zero. */
   static create(): GatewayMetrics {
     return new GatewayMetrics();
   }
 
-  /** Counts a request that ended.
+  /** Records a finished request.
    * @param kind Kind of its route.
    * @param result How it ended.
-   * @param durationMs Its time in milliseconds. */
+   * @param durationMs Its duration in milliseconds. */
   recordRequest(kind: string, result: string, durationMs: number): void {
     this.requests.inc({ kind, result });
     this.durations.observe({ kind }, durationMs / 1_000);
   }
 
-  /** Counts an attempt.
-   * @param sign What it said of the upstream's health. */
+  /** Records an attempt.
+   * @param sign The health signal of the upstream. */
   recordAttempt(sign: string): void {
     this.attempts.inc({ sign });
   }
 
-  /** Counts a refusal before any attempt.
+  /** Records a request that was refused before any attempt.
    * @param kind Kind of error. */
   recordRefusal(kind: string): void {
     this.refusals.inc({ kind });
   }
 
-  /** Counts an upstream that crashed. */
+  /** Records a crash of an upstream. */
   recordCrash(): void {
     this.crashes.inc();
   }
 
-  /** Counts a change of what an upstream said of whether it takes requests.
+  /** Records that an upstream reported a change of whether it accepts requests.
    * @param change The change. */
   recordAvailability(change: AvailabilityChange): void {
     this.availability.inc({ change });
   }
 
-  /** Counts a send to an upstream.
-   * @param basis What the choice of the upstream rested on.
-   * @param countAgeMs Mean age of other hosts' counts, in milliseconds. */
+  /** Records that a request was sent to an upstream.
+   * @param basis The basis on which the upstream was chosen.
+   * @param countAgeMs Mean age of other hosts' request counts, in milliseconds. */
   recordSend(basis: ChoiceBasis, countAgeMs: number): void {
     this.sends.inc({ basis });
     this.countAges.observe(countAgeMs / 1_000);
   }
 
-  /** Counts a datagram.
+  /** Records a datagram.
    * @param direction Whether this host sent or received it.
-   * @param bytes Its length. */
+   * @param bytes Its length in bytes. */
   recordDatagram(direction: DatagramDirection, bytes: number): void {
     this.datagramBytes.inc({ direction }, bytes);
   }
 
-  /** Notes the configuration that came in force.
+  /** Records the configuration that is now in force.
    * @param version Its version. */
   recordConfiguration(version: number): void {
     this.version.set(version);
   }
 
-  /** Notes how often the platform was restored.
-   * @param era Its era. */
+  /** Records how often the platform was restored from an older copy.
+   * @param era The number of restores. */
   recordEra(era: number): void {
     this.era.set(era);
   }
 
   /** Returns all metrics as text.
-   * @param ageMs Age of what is published, in milliseconds. */
+   * @param ageMs Age of the known publication in milliseconds. */
   async getText(ageMs: number): Promise<string> {
     this.age.set(ageMs / 1_000);
     return await this.registry.metrics();
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -5,47 +5,47 @@
 
 /** The schema of a gateway's settings. */
 export const gatewaySettingsSchema = z.object({
-  /** Name of the host, the same after a restart. */
+  /** Id of the host, which stays the same across restarts. */
   id: z.string().min(1),
   hall: z.string(),
-  /** Where callers send requests. */
+  /** Address for callers' requests. */
   callerAddress: address,
-  /** Where it is asked whether the host is ready. */
+  /** Address of the readiness check. */
   readinessAddress: address,
-  /** Where callers ask which addresses to use. */
+  /** Address for callers' address look-ups. */
   locateAddress: address,
-  /** Where other hosts ask for what is published. */
+  /** Address from which other hosts fetch the publication, the known hosts and the prefix index. */
   peerAddress: address,
-  /** Where other hosts tell of themselves. */
+  /** Address for gossip from other hosts. */
   gossipAddress: address,
-  /** Where counters and histograms are served. */
+  /** Address of the metrics. */
   metricsAddress: address,
-  /** Gossip addresses of hosts to begin with. */
+  /** Gossip addresses of the hosts to contact first. */
   seedAddresses: z.array(address),
   platformAddress: address,
-  /** Whether the whole fleet starts for the first time, so that no engine keeps anything yet. */
+  /** Whether the whole fleet starts for the first time, so that no engine has anything cached yet. */
   isFirstStart: z.boolean(),
-  /** Time after which a leaving upstream may get no new work. */
+  /** Time after which a draining upstream may get no new requests. */
   leaveWithinMs: milliseconds,
-  /** Time that a planned stop may take. */
+  /** Time that a graceful stop may take. */
   stopWithinMs: milliseconds,
-  /** Time after which a key that was taken away is no longer honoured; undefined where there is no bound. */
+  /** Time after which a revoked key is no longer accepted; undefined if there is no limit. */
   keyBeliefMs: milliseconds.optional(),
-  /** Retries allowed for each request, for the whole fleet. */
+  /** Fleet-wide retry budget per request. */
   retryRatio: z.number().nonnegative(),
   retryWindowMs: z.number().positive(),
-  /** Retries allowed beyond that in a window, for the whole fleet. */
+  /** Fleet-wide retry budget per window, in addition to the budget per request. */
   retryExtra: z.number().nonnegative(),
-  /** No upstream is to carry more than this multiple of the mean load. */
+  /** Maximum load of an upstream, as a multiple of the mean load. */
   boundMultiple: z.number().positive(),
-  /** Longest time for which callers may keep an answer with addresses. */
+  /** Maximum time for which callers may cache an address list. */
   locateLifetimeLimitMs: milliseconds,
 });
 
 /** Settings of a gateway. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
 
-/** What a process keeps until its next start: its name, and where it listens. */
+/** Settings that a running process keeps until its next start: its id and its addresses. */
 const RESTART_ONLY_FIELDS = [
   "id",
   "callerAddress",
@@ -57,7 +57,7 @@
   "platformAddress",
 ] as const satisfies readonly (keyof GatewaySettings)[];
 
-/** What of the settings holds until the next start.
+/** Returns the settings that only change with the next start.
  * @param settings The settings. */
 export function pickRestartOnly(
   settings: GatewaySettings,
--- a/src/gateway/host_exchange.ts
+++ b/src/gateway/host_exchange.ts
@@ -7,10 +7,10 @@
 import { packEntry } from "../peers/pack_gossip.ts";
 import { answerPacked, PackedClient } from "../peers/packed_client.ts";
 
-/** Path under which a host tells another all hosts that it knows. */
+/** Path under which a host serves all hosts that it knows to other hosts. */
 export const HOSTS_PATH = "/hosts";
 
-/** Time for a host's answer in milliseconds. */
+/** Timeout for the response of a host. */
 const RESPONSE_TIMEOUT_MS = 1_000;
 
 const statesSchema = z.array(
@@ -18,7 +18,7 @@
     .transform(([entry, status, agoMs]) => ({ entry, status, agoMs })),
 );
 
-/** Asks other hosts for all hosts that they know, and answers them. */
+/** Exchanges the lists of known hosts with other hosts. */
 export class HostExchange {
   private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
 
@@ -28,8 +28,8 @@
   ) {}
 
   /** Creates an exchange.
-   * @param logger Where failures are written.
-   * @param getStates All hosts that are known here, this one included. */
+   * @param logger Logs the results of fetches.
+   * @param getStates Returns all hosts known here, including this one. */
   static create(
     logger: Logger,
     getStates: () => readonly HostState[],
@@ -37,8 +37,8 @@
     return new HostExchange(logger, getStates);
   }
 
-  /** Answers a host.
-   * @param response Where the answer is written. */
+  /** Responds with all hosts known here.
+   * @param response The response to write. */
   respond(response: ServerResponse): void {
     const states = this.getStates().map(({ entry, status, agoMs }) => [
       packEntry(entry),
@@ -48,12 +48,12 @@
     answerPacked(response, states);
   }
 
-  /** Asks a host; returns nothing where it does not answer.
+  /** Fetches all hosts that a host knows; returns undefined if it does not respond.
    * @param host The host. */
   async fetch(host: PeerEntry): Promise<readonly HostState[] | undefined> {
     try {
-      const answer = await this.client.ask(host.peerAddress, HOSTS_PATH);
-      const states = statesSchema.parse(answer);
+      const response = await this.client.ask(host.peerAddress, HOSTS_PATH);
+      const states = statesSchema.parse(response);
       this.logger.info({ peer: host.id, hosts: states.length }, "hosts_read");
       return states;
     } catch (error) {
--- a/src/gateway/http_endpoint.ts
+++ b/src/gateway/http_endpoint.ts
@@ -7,7 +7,7 @@
 } from "node:http";
 import { splitAddress } from "../addresses/split_address.ts";
 
-/** Answers one path of an endpoint. */
+/** Handles the requests with one method and path of an endpoint. */
 export type EndpointHandler = (
   request: IncomingMessage,
   response: ServerResponse,
@@ -17,14 +17,14 @@
 /** Handlers by method and path, such as `GET /status`. */
 export type EndpointHandlers = Readonly<Record<string, EndpointHandler>>;
 
-/** A small HTTP server for one purpose beside the callers' requests. */
+/** A small HTTP server for a single purpose other than callers' requests. */
 export class HttpEndpoint {
   private constructor(private readonly server: Server) {}
 
   /** Opens an endpoint.
    * @param address Where to listen, as ip:port.
-   * @param handlers What it answers; any other path is a 404.
-   * @throws The system's error where the address can't be listened on. */
+   * @param handlers Its handlers; a request for anything else gets a 404.
+   * @throws The system's error if it can't listen on the address. */
   static async create(
     address: string,
     handlers: EndpointHandlers,
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -17,26 +17,27 @@
 import { recordPeerLoads } from "./record_told_loads.ts";
 import type { UpstreamChooser } from "./upstream_chooser.ts";
 
-/** What the link needs of the gateway. */
+/** Dependencies of a {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   logger: Logger;
-  /** The settings in force; the address to listen on is read once. */
+  /** Returns the current settings; the address to listen on is read once. */
   getSettings: () => GatewaySettings;
   published: PublicationKeeper;
   chooser: UpstreamChooser;
   publicationExchange: PublicationExchange;
   metrics: GatewayMetrics;
   guard: CrashGuard;
-  /** What this host is doing. */
+  /** Returns the lifecycle phase of this host. */
   getPhase: () => PeerEntry["phase"];
-  /** Ids of the hosts to ask how old what they know of the publication is. */
+  /** Returns the ids of the hosts to query for the age of their publication. */
   getSourceIds: () => readonly string[];
 }
 
-/** What this host and the others tell and ask each other by datagrams. In a small fleet every host hears all others in
- * each round; in a large one hosts hear few at a time, and ask those that know. */
+/** The communication between the hosts of the fleet, over datagrams. In a small fleet every host receives the state of
+ * all others in each gossip round. In a large fleet a host hears from few others per round, and queries those that know
+ * more. */
 export class PeerNetwork {
-  /** Tells other hosts all hosts that are known here. */
+  /** Serves the list of all known hosts to other hosts, and fetches theirs. */
   readonly hostExchange: HostExchange;
   private readonly gossip: Gossip;
   private readonly ageQueries: AgeQuestions;
@@ -57,9 +58,9 @@
       socket,
       getSources: () => this.getGossipAddresses(options.getSourceIds()),
       getWord: () => this.getPublicationSummary(),
-      onWord: (sender, word, askedAt) => {
+      onWord: (sender, summary, askedAt) => {
         const host = this.gossip.hosts.getHost(sender);
-        if (host) this.reconcilePublication(host.entry, word, askedAt);
+        if (host) this.reconcilePublication(host.entry, summary, askedAt);
       },
     });
     this.directory = PrefixDirectory.create({
@@ -71,9 +72,9 @@
     this.crashGossip = this.createCrashGossip();
   }
 
-  /** Opens the link.
-   * @param options What it needs.
-   * @throws The system's error where its address can't be listened on. */
+  /** Opens the socket and starts the communication.
+   * @param options Its dependencies.
+   * @throws The system's error if it can't listen on the gossip address. */
   static async create(options: PeerNetworkOptions): Promise<PeerNetwork> {
     const { logger, metrics, getSettings } = options;
     const { gossipAddress } = getSettings();
@@ -85,41 +86,42 @@
     return new PeerNetwork(options, socket);
   }
 
-  /** The other hosts that are heard. */
+  /** Returns the other live hosts. */
   getLiveHosts(): readonly KnownHost[] {
     return this.gossip.hosts.getLive(readClock());
   }
 
-  /** Hosts that may share a budget of the fleet, this one too: all that are remembered, for those that are lost here may live
-   * elsewhere. */
+  /** Counts the hosts that may share a fleet-wide budget, including this one: all known hosts, because a host that is
+   * lost from here may still be reachable by others. */
   countBudgetHosts(): number {
     return 1 + this.gossip.hosts.size;
   }
 
-  /** Tells other hosts soon how this one is. */
+  /** Announces this host's state to other hosts soon, ahead of the next gossip round. */
   announce(): void {
     this.gossip.announce();
   }
 
-  /** Tells other hosts soon which requests were under way on upstreams that crashed. */
+  /** Announces soon to other hosts which requests were in progress on crashed upstreams. */
   announceCrashes(): void {
     this.crashGossip.announce();
   }
 
-  /** Tells other hosts soon which engines were sent which parts of prompts. */
+  /** Announces soon to other hosts which engines were sent which prompt parts. */
   announcePrefixUpdates(): void {
     if (this.gossip.isLargeFleet) {
       this.directory.tell(this.options.chooser.prefixes.takeAllFacts());
     } else this.gossip.announce();
   }
 
-  /** In a large fleet, finds out which engines keep a part that is not known of here; nothing where nobody is asked.
+  /** In a large fleet, looks up which engines have a prompt part cached that is unknown here. Returns undefined if no
+   * other host is asked.
    * @param part Short name of the part. */
   lookUpPart(part: number): Promise<void> | undefined {
     return this.gossip.isLargeFleet ? this.directory.learn(part) : undefined;
   }
 
-  /** Ends the link. */
+  /** Ends the communication and closes the socket. */
   async close(): Promise<void> {
     this.gossip.close();
     this.ageQueries.close();
@@ -194,26 +196,27 @@
     if (askedAt !== undefined) this.reconcilePublication(entry, entry, askedAt);
   }
 
-  /** Takes what another host says of the publication: where it knows the same, what it knows is as new here as there,
-   * and where it knows more it is asked for that. */
+  /** Compares another host's publication summary with the local state. Equal digests confirm that the local state is as
+   * recent as the host's; a fresher host is asked for its state. */
   private reconcilePublication(
     host: PeerEntry,
-    word: PublicationWord,
+    summary: PublicationWord,
     askedAt: number,
   ): void {
-    const { published: keeper, publicationExchange } = this.options;
-    const { digest, revision, publicationAgeMs } = word;
+    const { published, publicationExchange } = this.options;
+    const { digest, revision, publicationAgeMs } = summary;
     if (publicationAgeMs < 0) return;
-    if (digest === keeper.digest) {
-      keeper.takeConfirmation(digest, askedAt - publicationAgeMs);
+    if (digest === published.digest) {
+      published.takeConfirmation(digest, askedAt - publicationAgeMs);
       return;
     }
-    const isFresher = publicationAgeMs < keeper.ageMs ||
-      revision > keeper.revision;
+    const isFresher = publicationAgeMs < published.ageMs ||
+      revision > published.revision;
     if (isFresher) void publicationExchange.fetch(host.id, host.peerAddress);
   }
 
-  /** Gossip addresses of hosts to ask; none in a small fleet, where each datagram tells what they would answer. */
+  /** Returns the gossip addresses of hosts to query; none in a small fleet, where every gossip datagram already carries
+   * the publication summary. */
   private getGossipAddresses(ids: readonly string[]): string[] {
     if (!this.gossip.isLargeFleet) return [];
     const addresses = new Map(
--- a/src/gateway/prefix_exchange.ts
+++ b/src/gateway/prefix_exchange.ts
@@ -5,15 +5,15 @@
 import { prefixFactsSchema } from "../peers/told_schemas.ts";
 import type { PrefixIndex } from "../upstreams/prefix_index.ts";
 
-/** Path under which a host tells another which engines keep which parts. */
+/** Path under which a host serves to other hosts which engines have which prompt parts cached. */
 export const PREFIXES_PATH = "/prefixes";
 
-/** Facts in one answer: some tens of kilobytes. */
+/** Maximum number of index entries in one response, which is a few tens of kilobytes. */
 const MAX_ENTRIES = 4_000;
-/** Time for a host's answer in milliseconds; the first requests after a start do not wait longer. */
+/** Timeout for the response of a host; the first requests after a start wait no longer than this. */
 const RESPONSE_TIMEOUT_MS = 300;
 
-/** Asks other hosts which engines keep which parts of prompts, and answers them. */
+/** Exchanges with other hosts which engines have which prompt parts cached. */
 export class PrefixExchange {
   private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
 
@@ -23,32 +23,33 @@
   ) {}
 
   /** Creates an exchange.
-   * @param prefixes What is known here.
-   * @param logger Where failures are written. */
+   * @param prefixes The local index.
+   * @param logger Logs the results of fetches. */
   static create(prefixes: PrefixIndex, logger: Logger): PrefixExchange {
     return new PrefixExchange(prefixes, logger);
   }
 
-  /** Answers a host; 204 where this host has just started too and knows only a part.
-   * @param response Where the answer is written. */
+  /** Responds with the most recently used index entries, or with 204 if this host has just started too and its index is
+   * incomplete.
+   * @param response The response to write. */
   respond(response: ServerResponse): void {
     if (!this.prefixes.isComplete) {
       response.writeHead(204).end();
       return;
     }
-    const facts = this.prefixes.getRecent(MAX_ENTRIES, readClock());
-    answerPacked(response, facts);
+    const entries = this.prefixes.getRecent(MAX_ENTRIES, readClock());
+    answerPacked(response, entries);
   }
 
-  /** Asks a host; returns whether it knew.
-   * @param address Where it answers other hosts, as ip:port. */
+  /** Fetches the index of a host; returns whether the host had a complete one.
+   * @param address Peer address of the host, as ip:port. */
   async fetch(address: string): Promise<boolean> {
     try {
-      const answer = await this.client.ask(address, PREFIXES_PATH);
-      if (answer === undefined) return false;
-      const facts = prefixFactsSchema.parse(answer);
-      this.prefixes.learn(facts, readClock());
-      this.logger.info({ address, facts: facts.length }, "prefixes_learned");
+      const response = await this.client.ask(address, PREFIXES_PATH);
+      if (response === undefined) return false;
+      const entries = prefixFactsSchema.parse(response);
+      this.prefixes.learn(entries, readClock());
+      this.logger.info({ address, facts: entries.length }, "prefixes_learned");
       return true;
     } catch (error) {
       const reason = (error as Error).message;
--- a/src/gateway/prefix_recovery.ts
+++ b/src/gateway/prefix_recovery.ts
@@ -8,87 +8,90 @@
 import type { Upstream } from "../upstreams/upstream.ts";
 import type { PrefixExchange } from "./prefix_exchange.ts";
 
-/** Time after the first configuration in which other hosts may be heard, in milliseconds: a round of gossip and a
- * little. */
+/** Minimum time to discover other hosts after the first configuration: slightly more than one gossip round. */
 const MIN_DISCOVERY_WAIT_MS = 260;
-/** Time in which no further host is heard once all are, in milliseconds. */
+/** Time without a newly discovered host after which discovery counts as complete. */
 const DISCOVERY_STABLE_MS = 130;
-/** Longest wait until that is so, in milliseconds. */
+/** Maximum time to wait for discovery to complete. */
 const MAX_DISCOVERY_WAIT_MS = 2_000;
-/** Time in which other hosts tell what they learned from their engines, in milliseconds; before, this one knows only a
- * part and does not answer others. */
+/** Time in which other hosts announce what they have learned from their engines. Until it is over, this host's index is
+ * incomplete and is not served to others. */
 const PEER_UPDATES_WAIT_MS = 1_500;
-/** Engines up to which they are asked for their lists, each of which holds up its engine and has its price. Their number is
- * known at once, while a host that has just started hears few of the others. */
+/** Maximum number of engines up to which they are asked to list their parts: each list blocks its engine's work and has
+ * a cost. The limit is on engines because their number is known immediately, while a host that has just started hears
+ * few others. */
 const MAX_LISTED_ENGINES = 24;
-/** Hosts that are asked at most. */
+/** Maximum number of hosts to fetch the index from. */
 const MAX_QUERIED_HOSTS = 3;
 
-/** What the recovery needs. */
+/** Dependencies of a {@link PrefixRecovery}. */
 export interface PrefixRecoveryOptions {
   logger: Logger;
   prefixes: PrefixIndex;
   inventory: EngineInventory;
   exchange: PrefixExchange;
   hostId: string;
-  /** The other hosts that are heard. */
+  /** Returns the other live hosts. */
   getHosts: () => readonly PeerEntry[];
-  /** All engines that can list what they keep. */
+  /** Returns all engines that can list their cached parts. */
   getEngines: () => readonly Upstream[];
 }
 
-/** Learns after a start which engines keep which parts: from another host, or where all were restarted at once and
- * nobody is left to tell, from the engines, each of which is asked once, by the first host in its order. Where there are
- * many engines they are not asked: what a host learns would reach few others, and each prompt has an engine by its order. */
+/** Recovers after a start which engines have which prompt parts cached. The index is fetched from another host. If all
+ * hosts were restarted at once and none has it, the engines list their parts; each is asked once, by the host that
+ * ranks first for it. Many engines are not asked: what one host learns would reach few others, and each prompt has an
+ * engine by its rendezvous order anyway. */
 export class PrefixRecovery {
   private constructor(private readonly options: PrefixRecoveryOptions) {}
 
   /** Creates a recovery.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: PrefixRecoveryOptions): PrefixRecovery {
     return new PrefixRecovery(options);
   }
 
-  /** Learns what is to be known. */
+  /** Runs the recovery and marks the index as complete. */
   async run(): Promise<void> {
     const hosts = await this.waitForStableHosts();
-    const isKnown = await this.fetchFromHosts(hosts);
-    const isWorthIt = this.options.getEngines().length <= MAX_LISTED_ENGINES;
-    if (!isKnown && isWorthIt) {
+    const isRecovered = await this.fetchFromHosts(hosts);
+    const mayListEngines =
+      this.options.getEngines().length <= MAX_LISTED_ENGINES;
+    if (!isRecovered && mayListEngines) {
       await this.recoverFromEngines(hosts.map((host) => host.id));
       await delay(PEER_UPDATES_WAIT_MS);
     }
     this.options.prefixes.markComplete();
   }
 
-  /** Waits until no further host is heard: one that believes itself alone would ask engines that others ask too. */
+  /** Waits until no new host is discovered. A host that wrongly takes itself for the only one would ask engines that
+   * others ask too. */
   private async waitForStableHosts(): Promise<readonly PeerEntry[]> {
     const endsAt = readClock() + MAX_DISCOVERY_WAIT_MS;
     await delay(MIN_DISCOVERY_WAIT_MS);
     let hosts = this.options.getHosts();
     while (readClock() < endsAt) {
       await delay(DISCOVERY_STABLE_MS);
-      const later = this.options.getHosts();
-      if (later.length === hosts.length) return later;
-      hosts = later;
+      const latest = this.options.getHosts();
+      if (latest.length === hosts.length) return latest;
+      hosts = latest;
     }
     return hosts;
   }
 
   private async fetchFromHosts(hosts: readonly PeerEntry[]): Promise<boolean> {
     const { exchange } = this.options;
-    const asked = hosts.slice(0, MAX_QUERIED_HOSTS).map((host) =>
+    const fetches = hosts.slice(0, MAX_QUERIED_HOSTS).map((host) =>
       exchange.fetch(host.peerAddress)
     );
-    return (await Promise.all(asked)).includes(true);
+    return (await Promise.all(fetches)).includes(true);
   }
 
   private async recoverFromEngines(hostIds: readonly string[]): Promise<void> {
     const { hostId, getEngines } = this.options;
-    const own = getEngines().filter((engine) =>
+    const assigned = getEngines().filter((engine) =>
       rankByRendezvous(engine.id, [...hostIds, hostId])[0] === hostId
     );
-    await Promise.all(own.map((engine) => this.recoverFromEngine(engine)));
+    await Promise.all(assigned.map((engine) => this.recoverFromEngine(engine)));
   }
 
   private async recoverFromEngine(engine: Upstream): Promise<void> {
@@ -111,21 +114,21 @@
   }
 }
 
-/** Asks an engine for its list, and hears what its answer says besides.
- * @throws Error where it gives none. */
+/** Lists the prompt parts that an engine has cached, and records the availability that its response reports.
+ * @throws Error if the engine returns no list. */
 async function listParts(
   inventory: EngineInventory,
   engine: Upstream,
 ): Promise<readonly string[]> {
   const { availability } = engine;
   if (availability.getBackoffMs(readClock()) > 0) {
-    throw new Error("the engine asked for a backoff");
+    throw new Error("engine has requested a backoff");
   }
-  const answer = await inventory.listParts(engine.address);
-  if (engine.isOtherStart(answer.list?.startedAt)) {
-    throw new Error("another start of the engine has answered");
+  const response = await inventory.listParts(engine.address);
+  if (engine.isOtherStart(response.list?.startedAt)) {
+    throw new Error("engine has restarted since its entry was published");
   }
-  availability.note(answer.availability, readClock());
-  if (answer.list) return answer.list.parts;
-  throw new Error(`the engine answered ${answer.status}`);
+  availability.note(response.availability, readClock());
+  if (response.list) return response.list.parts;
+  throw new Error(`engine responded with status ${response.status}`);
 }
--- a/src/gateway/publication_exchange.ts
+++ b/src/gateway/publication_exchange.ts
@@ -11,13 +11,13 @@
 import type { PublicationKeeper } from "../published/publication_keeper.ts";
 import { upstreamSchema } from "../published/upstream_schema.ts";
 
-/** Path under which a host tells another everything it knows. */
+/** Path under which a host serves the publication that it knows to other hosts. */
 export const PUBLICATION_PATH = "/publication";
 
-/** Version that a host names while it has no configuration. */
+/** Version that a host sends while it has no configuration. */
 const NO_CONFIGURATION_VERSION = "none";
-/** Time for a host's answer in milliseconds, and others can be asked after it: several hosts may read a configuration of
- * some thousand routes at a time over a link of some megabits. */
+/** Timeout for the response of a host, after which another host can be asked. Several hosts may be reading a
+ * configuration of a few thousand routes at the same time over a link of a few megabits per second. */
 const RESPONSE_TIMEOUT_MS = 1_500;
 
 const stateSchema = z.object({
@@ -31,13 +31,13 @@
     }).transform(({ upstream, ...change }) => ({ ...change, upstream })),
   ),
   completeUpTo: z.number(),
-  /** Digest of all that the host knows. */
+  /** Digest of the whole publication that the host knows. */
   digest: z.number(),
-  /** Missing where the host knows nothing yet. */
+  /** Omitted if the host has no publication yet. */
   ageMs: z.number().default(Infinity),
 });
 
-/** Asks other hosts for what is published, and answers them. */
+/** Exchanges the publication with other hosts. */
 export class PublicationExchange {
   private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
   private isFetching = false;
@@ -50,25 +50,25 @@
   ) {}
 
   /** Creates an exchange.
-   * @param keeper What is known here.
-   * @param logger Where failures are written. */
+   * @param published The publication known here.
+   * @param logger Logs failed fetches. */
   static create(
-    keeper: PublicationKeeper,
+    published: PublicationKeeper,
     logger: Logger,
   ): PublicationExchange {
-    return new PublicationExchange(keeper, logger);
+    return new PublicationExchange(published, logger);
   }
 
-  /** Answers a host with what is known here and may be missing there.
-   * @param response Where the answer is written.
-   * @param query With `version`, that of the configuration which the host has, and `after`, the revision up to which it
-   * misses no change of upstreams. */
+  /** Responds with the parts of the publication that the requesting host may lack.
+   * @param response The response to write.
+   * @param query Has `version`, the version of that host's configuration, and `after`, the revision up to which that
+   * host has every change of upstreams. */
   respond(response: ServerResponse, query: URLSearchParams): void {
     const after = Number(query.get("after") ?? 0);
     const { ageMs, configuration, ...state } = this.published.getState(after);
-    const isKnown = String(configuration?.version) === query.get("version");
+    const hasVersion = String(configuration?.version) === query.get("version");
     answerPacked(response, {
-      configuration: configuration && !isKnown
+      configuration: configuration && !hasVersion
         ? this.pack(configuration)
         : undefined,
       ...state,
@@ -77,9 +77,10 @@
     });
   }
 
-  /** Asks a host for what it knows and may be missing here, unless another is being asked: all would send the same.
-   * @param peerId The host.
-   * @param address Where it answers other hosts, as ip:port. */
+  /** Fetches from a host what may be missing here. Does nothing while another fetch is in progress, because all hosts
+   * would send the same.
+   * @param peerId Id of the host.
+   * @param address Peer address of the host, as ip:port. */
   async fetch(peerId: string, address: string): Promise<void> {
     if (this.isFetching) return;
     this.isFetching = true;
@@ -100,7 +101,7 @@
     await this.client.close();
   }
 
-  /** The configuration as other hosts read it; made once for each version, for many ask at the same time. */
+  /** Returns the packed configuration, cached per version because many hosts ask for it at the same time. */
   private pack(configuration: PublishedConfiguration): Buffer {
     const { version } = configuration;
     if (this.packedConfiguration?.version !== version) {
@@ -129,7 +130,8 @@
       configuration: configuration && unpackConfiguration(configuration),
     };
     this.published.takeState(state, peerId, askedAt);
-    // Where the two still differ, more may be missing here than is believed; the next answer is to hold everything.
+    // If the digests still differ, more may be missing here than `completeUpTo` implies; the next fetch asks for the
+    // full state.
     this.needsFullState = digest !== this.published.digest;
   }
 }
--- a/src/gateway/publication_watch.ts
+++ b/src/gateway/publication_watch.ts
@@ -7,55 +7,55 @@
 import type { PublicationKeeper } from "../published/publication_keeper.ts";
 import { WatchOrder } from "./watch_order.ts";
 
-/** Longest wait of one watch, in milliseconds; what is known looks as old as that where nothing changes. */
+/** Maximum wait of one long poll; the publication appears up to this old while nothing changes. */
 const WATCH_TIMEOUT_MS = 1_000;
-/** Pause after changes came, in milliseconds: engines change their entries in bursts, each call has its price, and the
- * bounds on leaving and on configurations are seconds. */
+/** Pause after changes arrive, to batch those that follow: engines change their entries in bursts, each call to the
+ * platform has a cost, and the bounds on draining and on configurations are seconds. */
 const CHANGE_BATCHING_MS = 120;
-/** Time after a start in which a host that hears others leaves watching to them, in milliseconds: it does not know yet
- * who is to watch. */
+/** Time after a start in which a host that hears others and has a publication younger than this does not watch, because
+ * it does not know yet which hosts should. */
 const STARTUP_GRACE_MS = 1_000;
-/** Least and most time after a start in which a host that knows seeds waits for another's copy before it reads the platform
- * itself, in milliseconds. The seeds read at once. */
-const PEER_BOOTSTRAP_WAIT_MS = [300, 600] as const;
-/** Pause after a failed read of the platform, in milliseconds; drawn between half and one and a half of it. */
+/** Minimum and maximum time after a start for which a host with seeds waits for the publication of another host before
+ * it reads the platform itself. The seeds read it immediately. */
+const PEER_BOOTSTRAP_WAIT_RANGE_MS = [300, 600] as const;
+/** Mean pause of a watcher after a failed read of the platform, drawn between 0.5 and 1.5 times this value. */
 const WATCHER_RETRY_MS = 200;
-/** The same for hosts that only help out, which is longer, for every call has its price, also one that is refused. */
+/** Mean pause of a backup host; longer, because every call to the platform has a cost, even a refused one. */
 const BACKUP_RETRY_MS = 1_000;
-/** Time for which the order of the hosts is used before it is worked out anew, in milliseconds: two rounds of gossip. */
+/** Time for which a ranking of the hosts is reused: two gossip rounds. */
 const RANKING_TTL_MS = 400;
-/** Interval at which a host that does not watch looks whether it should, in milliseconds. */
+/** Mean interval at which a host that does not watch checks whether it should. */
 const IDLE_CHECK_INTERVAL_MS = 100;
 
-/** What the watch needs of the gateway. */
+/** Dependencies of a {@link PublicationWatch}. */
 export interface PublicationWatchOptions {
   logger: Logger;
   feed: PublicationFeed;
   published: PublicationKeeper;
-  /** Name of this host in the settings in force. */
+  /** Returns the id of this host. */
   getHostId: () => string;
-  /** Other hosts that are heard. */
+  /** Returns the other live hosts. */
   getLiveHosts: () => readonly KnownHost[];
-  /** Whether other hosts are likely to have a copy of what is published before this one: it has seeds and is none. */
+  /** Whether other hosts are likely to have the publication before this one: it has seeds and is not a seed itself. */
   mayBootstrapFromPeers: () => boolean;
 }
 
-/** A host's part in watching the platform: whether it is one of the hosts that watch. */
+/** Watches the platform for changes of the publication while this host is one of those that should watch. */
 export class PublicationWatch {
   private readonly watcher: FeedWatcher;
   private readonly startedAt = readClock();
   private readonly peerBootstrapWaitMs = Random.create().integer(
-    ...PEER_BOOTSTRAP_WAIT_MS,
+    ...PEER_BOOTSTRAP_WAIT_RANGE_MS,
   );
   private rankedAt = readClock();
   private cachedRanking: WatchOrder;
 
   private constructor(private readonly options: PublicationWatchOptions) {
-    const { feed, published: keeper, logger } = options;
+    const { feed, published, logger } = options;
     this.cachedRanking = this.buildRanking();
     this.watcher = FeedWatcher.create({
       feed,
-      keeper,
+      keeper: published,
       logger,
       watchMs: WATCH_TIMEOUT_MS,
       gatherMs: CHANGE_BATCHING_MS,
@@ -67,17 +67,17 @@
   }
 
   /** Creates a watch and starts it.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: PublicationWatchOptions): PublicationWatch {
     return new PublicationWatch(options);
   }
 
-  /** Ends the watch after the call under way. */
+  /** Ends the watch after the current call. */
   close(): void {
     this.watcher.close();
   }
 
-  /** Hosts that this one asks for the age of what they know, none where it watches itself. */
+  /** Returns the hosts to query for the age of their publication; none if this host is a watcher. */
   getSources(): string[] {
     return this.ranking.getSources();
   }
@@ -92,21 +92,21 @@
   }
 
   private shouldWatch(): boolean {
-    const { published: { ageMs }, mayBootstrapFromPeers: hasOthersFirst } =
-      this.options;
-    const runsForMs = readClock() - this.startedAt;
-    const mayGetCopy = runsForMs < this.peerBootstrapWaitMs && hasOthersFirst();
-    if (ageMs === Infinity && mayGetCopy) return false;
-    const isStarting = runsForMs < STARTUP_GRACE_MS;
+    const { published: { ageMs }, mayBootstrapFromPeers } = this.options;
+    const uptimeMs = readClock() - this.startedAt;
+    const awaitsPeer = uptimeMs < this.peerBootstrapWaitMs &&
+      mayBootstrapFromPeers();
+    if (ageMs === Infinity && awaitsPeer) return false;
+    const isStarting = uptimeMs < STARTUP_GRACE_MS;
     const hearsOthers = this.options.getLiveHosts().length > 0;
     if (isStarting && hearsOthers && ageMs < STARTUP_GRACE_MS) return false;
     return this.ranking.isNeeded(ageMs);
   }
 
   private buildRanking(): WatchOrder {
-    const staying = this.options.getLiveHosts().filter((host) =>
+    const notDraining = this.options.getLiveHosts().filter((host) =>
       host.entry.phase !== "draining"
     ).map((host) => host.entry.id);
-    return WatchOrder.create(this.options.getHostId(), staying);
+    return WatchOrder.create(this.options.getHostId(), notDraining);
   }
 }
--- a/src/gateway/record_told_loads.ts
+++ b/src/gateway/record_told_loads.ts
@@ -1,22 +1,26 @@
 import type { PeerEntry } from "../peers/gossip_schema.ts";
 import type { LoadCounts } from "../upstreams/load_counts.ts";
 
-/** Time for which a host's counts of its requests are used, in milliseconds: some rounds of gossip, and in a large fleet
- * the time that counts take by way of other hosts. */
+/** Time for which another host's request counts are used: a few gossip rounds, and in a large fleet the time that
+ * counts take when other hosts relay them. */
 const PEER_LOADS_TTL_MS = { small: 1_200, large: 2_500 } as const;
 
-/** Records the counts of requests that a host told.
- * @param loads Where they are recorded.
- * @param entry What the host told.
- * @param toldAt Monotonic milliseconds at which it told this, as far as is known.
- * @param isLargeFleet Whether counts come by way of other hosts. */
+/** Records the request counts that another host reported.
+ * @param loads Receives the counts.
+ * @param entry The reported state of the host.
+ * @param reportedAt Monotonic milliseconds at which the host reported it, as far as is known.
+ * @param isLargeFleet Whether other hosts relay the counts. */
 export function recordPeerLoads(
   loads: LoadCounts,
   entry: PeerEntry,
-  toldAt: number,
+  reportedAt: number,
   isLargeFleet: boolean,
 ): void {
-  const usedForMs = PEER_LOADS_TTL_MS[isLargeFleet ? "large" : "small"];
-  const usedUntil = toldAt + usedForMs;
-  loads.record(entry.id, { toldAt, usedUntil, counts: entry.loads });
+  const ttlMs = PEER_LOADS_TTL_MS[isLargeFleet ? "large" : "small"];
+  const usedUntil = reportedAt + ttlMs;
+  loads.record(entry.id, {
+    toldAt: reportedAt,
+    usedUntil,
+    counts: entry.loads,
+  });
 }
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -21,11 +21,11 @@
 import { UpstreamTable } from "../upstreams/upstream_table.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 
-/** Time over which callers that were refused come back after a backoff, in milliseconds: as long as an upstream takes for the
- * first requests, one and then twice as many each time. */
+/** Maximum jitter that is added to the retry time of refused callers after a backoff. As long as a recovering upstream
+ * takes for its first requests, which start with one and double each time. */
 const RETRY_AFTER_JITTER_MS = 250;
 
-/** The settings that choices follow. */
+/** The settings that the choice of an upstream depends on. */
 export type ChooserSettings = Pick<
   GatewaySettings,
   | "boundMultiple"
@@ -36,44 +36,45 @@
   | "retryWindowMs"
 >;
 
-/** What the chooser needs of the gateway and whom it tells. */
+/** Dependencies and callbacks of an {@link UpstreamChooser}. */
 export interface UpstreamChooserOptions {
   logger: Logger;
-  /** The settings in force; read anew for each choice. */
+  /** Returns the current settings; called for each choice. */
   getSettings: () => ChooserSettings;
-  /** A service as it is published, or nothing. */
+  /** Returns a published service, or undefined if there is none of that name. */
   getService: (name: string) => Service | undefined;
-  /** Hosts that are heard, this one too. */
+  /** Number of live hosts, including this one. */
   countHosts: () => number;
-  /** Hosts that may share a budget of the fleet, also those that were lost lately. */
+  /** Number of hosts that may share a fleet-wide budget, including recently lost ones. */
   countBudgetHosts: () => number;
-  /** Monotonic milliseconds up to which a missing entry may only have lapsed. */
+  /** Monotonic milliseconds until which an entry may be missing only because it expired in an outage of the
+   * platform. */
   getLapseEndsAt: () => number;
-  /** Told when there are facts about prompts for other hosts. */
+  /** Called when there are prefix updates to send to other hosts. */
   onPrefixUpdates: () => void;
-  /** Told of an upstream that has started again under its id. */
+  /** Called with the previous state of an upstream that has restarted under its id. */
   onRestart: (before: Upstream) => void;
-  /** Told of what an upstream has said of whether it takes requests, where that changed. */
+  /** Called when an upstream reports a change of whether it accepts requests. */
   onAvailability: (change: AvailabilityChange) => void;
-  /** Told of each upstream that is taken out. */
+  /** Called with each upstream that is removed from the table. */
   onDrop: (upstream: Upstream) => void;
-  /** Told of each send, with what was known of the requests on the upstream. */
+  /** Called for each attempt, with the known load of the upstream. */
   onSend: (choice: UpstreamChoice, load: LoadSnapshot) => void;
-  /** Told of each sign of an upstream's health. */
+  /** Called with each health signal of an upstream. */
   onHealthSignal: (sign: HealthSign) => void;
-  /** Reads monotonic milliseconds; the process's clock by default. */
+  /** Returns monotonic milliseconds; defaults to the clock of the process. */
   readNow?: () => number;
-  /** Unseeded by default. */
+  /** Defaults to an unseeded generator. */
   random?: Random;
 }
 
-/** Holds the upstreams with their loads, the prompts they keep and the retries left, and chooses among them. */
+/** Chooses upstreams, from their loads, the prompt prefixes that they have cached and the remaining retry budgets. */
 export class UpstreamChooser {
-  /** The upstreams that are known. */
+  /** The known upstreams. */
   readonly upstreams: UpstreamTable;
-  /** Requests on each upstream. */
+  /** Numbers of requests on each upstream. */
   readonly loads = LoadCounts.create();
-  /** Which engines keep which parts of prompts. */
+  /** Which engines have which prompt parts cached. */
   readonly prefixes = PrefixIndex.create();
   private readonly readNow: () => number;
   private readonly random: Random;
@@ -95,12 +96,12 @@
   }
 
   /** Creates a chooser that knows no upstreams.
-   * @param options What it needs. */
+   * @param options Its dependencies and callbacks. */
   static create(options: UpstreamChooserOptions): UpstreamChooser {
     return new UpstreamChooser(options);
   }
 
-  /** What requests' runs need of the upstreams. */
+  /** Creates the access to upstreams that the runs of requests use. */
   createAccess(): UpstreamAccess {
     return {
       choose: (call, tried) => this.choose(call, tried),
@@ -115,26 +116,26 @@
     };
   }
 
-  /** Engines of the services that can take from each other what they keep. */
+  /** Returns the engines of the services whose engines can fetch cached prompt parts from each other. */
   getFetchCapableEngines(): Upstream[] {
     return [...this.upstreams.getAll()].filter((upstream) =>
       this.options.getService(upstream.published.service)?.canFetch
     );
   }
 
-  /** Counts a call that is sent for the first time, from which its service's retries grow.
+  /** Records a request, which adds to the retry budget of its service.
    * @param service Name of the service. */
   recordRequest(service: string): void {
     this.getRetryBudget(service).noteRequest(this.readNow());
   }
 
-  /** Begins the counts of retries anew, for the settings they follow have changed. */
+  /** Resets all retry budgets, because the settings that they depend on have changed. */
   resetRetryBudgets(): void {
     this.retryBudgets.clear();
   }
 
-  /** Takes that an upstream has crashed: it gets nothing for a while, and gives others nothing of what it kept.
-   * @param shortName Short name of the start. */
+  /** Marks an upstream as crashed: it gets no requests for a while, and others fetch nothing that it had cached.
+   * @param shortName Short name of the upstream process. */
   markCrashed(shortName: number): void {
     const upstream = this.upstreams.findByShortName(shortName);
     if (!upstream) return;
@@ -147,9 +148,9 @@
     this.upstreams.close();
   }
 
-  /** Chooses an upstream for a call, or nothing where none is left.
+  /** Chooses an upstream for a call; returns undefined if none is left.
    * @param call The call.
-   * @param tried Ids of the upstreams that the call was sent to before. */
+   * @param tried Ids of the upstreams that the call was already sent to. */
   private choose(
     call: RoutedCall,
     tried: ReadonlySet<string>,
@@ -174,15 +175,16 @@
     });
   }
 
-  /** Upstreams of a service that are there, whether or not they take new requests. */
+  /** Returns the reachable upstreams of a service, whether or not they accept new requests. */
   private getReachable(service: string, now: number): Upstream[] {
     return this.upstreams.getPresent(service).filter((upstream) =>
       upstream.isWithinReach(now)
     );
   }
 
-  /** Time after which a caller that is refused may come back, in milliseconds, where all upstreams asked for a backoff:
-   * when the first of them ends, and spread a little, for the first requests show whether the upstream has room.
+  /** Returns the milliseconds after which a refused caller may retry, or undefined unless all upstreams requested a
+   * backoff: the end of the first backoff plus jitter, because the first requests after it show whether the upstream
+   * has capacity.
    * @param service Name of the service. */
   private getRetryAfterMs(service: string): number | undefined {
     const backoffMs = this.upstreams.getBackoffMs(service);
@@ -190,10 +192,10 @@
     return backoffMs + this.random.integer(0, RETRY_AFTER_JITTER_MS);
   }
 
-  /** What an engine keeps of a call's prompt, and from where it should fetch the rest, or nothing where the call shares no
-   * prompt; records that the prompt is sent.
+  /** Returns what an engine has cached of a call's prompt and where it should fetch the rest from, or undefined if the
+   * call has no shared prompt. Records that the prompt is sent to the engine.
    * @param call The call.
-   * @param target The engine that is to run it. */
+   * @param target The engine that will run it. */
   private placePrompt(
     call: RoutedCall,
     target: Upstream,
@@ -234,9 +236,9 @@
     return load;
   }
 
-  /** Records how an attempt at an upstream ended.
+  /** Records the health signal of an attempt, and ejects the upstream if its health requires it.
    * @param upstream The upstream.
-   * @param sign What the attempt says of its health. */
+   * @param sign The health signal. */
   private recordHealthSignal(upstream: Upstream, sign: HealthSign): void {
     this.options.onHealthSignal(sign);
     const ejectedMs = upstream.health.note(sign, this.readNow());
@@ -247,35 +249,35 @@
     );
   }
 
-  /** Takes a retry of a service; returns whether there was one left.
+  /** Spends a retry from the budget of a service; returns whether one was left.
    * @param service Name of the service. */
   private spendRetry(service: string): boolean {
     return this.getRetryBudget(service).spend(this.readNow());
   }
 
-  /** Upstreams of a service that may get a request, but for those on which this host has used its share of their
-   * connections. */
+  /** Returns the upstreams of a service that may get a request, without those on which this host has used up its share
+   * of the connections. */
   private getCandidates(service: string): Upstream[] {
     const serving = this.upstreams.getServing(service);
-    const most = this.options.getService(service)?.maxConnections;
-    if (most === undefined) return serving;
-    const share = Math.max(1, most / this.options.countHosts());
+    const maxConnections = this.options.getService(service)?.maxConnections;
+    if (maxConnections === undefined) return serving;
+    const share = Math.max(1, maxConnections / this.options.countHosts());
     return serving.filter((upstream) => upstream.ownRequests < share);
   }
 
   private getRetryBudget(service: string): RetryShare {
-    const known = this.retryBudgets.get(service);
-    if (known) return known;
+    const existing = this.retryBudgets.get(service);
+    if (existing) return existing;
     const settings = this.options.getSettings();
-    const share = RetryShare.create({
+    const budget = RetryShare.create({
       ratio: settings.retryRatio,
       extra: settings.retryExtra,
       windowMs: settings.retryWindowMs,
       countHosts: this.options.countBudgetHosts,
       random: this.random,
     });
-    this.retryBudgets.set(service, share);
-    return share;
+    this.retryBudgets.set(service, budget);
+    return budget;
   }
 }
 
--- a/src/gateway/watch_order.ts
+++ b/src/gateway/watch_order.ts
@@ -1,41 +1,45 @@
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 
-/** Hosts of a fleet that watch the platform; the others hear from them. */
+/** Number of hosts that always watch the platform; the others learn of changes from them. */
 const WATCHER_COUNT = 3;
-/** Hosts that ask one and the same host for the age of what it knows; some 53 short datagrams a second there. */
+/** Maximum number of hosts that query the same host for the age of its publication, which is about 53 short datagrams a
+ * second there. */
 const MAX_POLLERS_PER_HOST = 32;
-/** Hosts that one host asks in turn, so that one that is lost delays it only. */
+/** Number of hosts that a host queries in turn, so that a lost one only causes a delay. */
 const MAX_SOURCES = 3;
-/** Age of what is known at which others watch too, in milliseconds: beyond what a watcher's word has on its way, two
- * waits of a watch and two rounds of gossip. */
+/** Age of the publication at which backup hosts start to watch: more than an update takes from a watcher, which is two
+ * watch timeouts and two gossip rounds. */
 const BACKUP_AGE_MS = 2_600;
-/** Time after which twice as many hosts watch, in milliseconds; keys are honoured up to some four seconds. */
+/** Interval after which the number of watching hosts doubles. Keys are accepted up to an age of about four seconds. */
 const BACKUP_DOUBLING_INTERVAL_MS = 400;
-/** Most hosts that watch together where none has an answer; a host that hears none of them is first in its own order. */
+/** Maximum number of hosts that watch at once if none gets an answer. A host that hears none of them ranks first in its
+ * own ranking. */
 const MAX_CONCURRENT_WATCHERS = 24;
 
-/** Which hosts watch the platform, and whom the others ask: an order that all hosts which hear the same have alike. */
+/** Ranks the hosts of the fleet to decide which of them watch the platform, and which hosts the others query. Hosts
+ * with the same live hosts compute the same ranking. */
 export class WatchOrder {
   private constructor(
     private readonly ranked: readonly string[],
     private readonly rank: number,
   ) {}
 
-  /** Works out the order.
-   * @param hostId This host.
-   * @param others The other hosts that are heard and stay. */
+  /** Computes the ranking.
+   * @param hostId Id of this host.
+   * @param others Ids of the other live hosts that are not draining. */
   static create(hostId: string, others: readonly string[]): WatchOrder {
     const ranked = rankByRendezvous("watcher", [...others, hostId]);
     return new WatchOrder(ranked, ranked.indexOf(hostId));
   }
 
-  /** Whether this host is among the first, who watch always. */
+  /** Whether this host is among the first in the ranking, which always watch. */
   get isWatcher(): boolean {
     return this.rank < WATCHER_COUNT;
   }
 
-  /** Whether this host watches now: the first do, and where their word does not come twice as many in each step.
-   * @param ageMs Age of what this host knows, in milliseconds; infinite where it knows nothing. */
+  /** Whether this host should watch now: the first hosts always do, and if their updates fail to arrive, twice as many
+   * hosts in each interval.
+   * @param ageMs Age of this host's publication in milliseconds; infinite if it has none. */
   isNeeded(ageMs: number): boolean {
     if (this.isWatcher || ageMs === Infinity) return true;
     if (ageMs < BACKUP_AGE_MS) return false;
@@ -45,21 +49,25 @@
       Math.min(MAX_CONCURRENT_WATCHERS, WATCHER_COUNT * 2 ** steps);
   }
 
-  /** Hosts that this one asks for the age of what they know: watchers, or in a large fleet hosts that ask them. */
+  /** Returns the hosts that this host queries for the age of their publication: watchers, or in a large fleet hosts
+   * that query them. */
   getSources(): string[] {
     if (this.isWatcher) return [];
-    // The hosts asked are `size` ones from `begin` on: the watchers for the next part of the order, those for the one after.
-    let begin = 0;
-    let size = WATCHER_COUNT;
-    while (this.rank >= begin + size + size * MAX_POLLERS_PER_HOST) {
-      begin += size;
-      size *= MAX_POLLERS_PER_HOST;
+    // The ranking is split into levels, of which each queries the one before: the level to query has `levelSize` hosts
+    // from rank `levelStart` on. The watchers are the first level.
+    let levelStart = 0;
+    let levelSize = WATCHER_COUNT;
+    while (
+      this.rank >= levelStart + levelSize + levelSize * MAX_POLLERS_PER_HOST
+    ) {
+      levelStart += levelSize;
+      levelSize *= MAX_POLLERS_PER_HOST;
     }
-    const place = this.rank - begin - size;
-    const count = Math.min(MAX_SOURCES, size);
+    const offset = this.rank - levelStart - levelSize;
+    const count = Math.min(MAX_SOURCES, levelSize);
     return Array.from(
       { length: count },
-      (_, index) => this.ranked[begin + (place + index) % size]!,
+      (_, index) => this.ranked[levelStart + (offset + index) % levelSize]!,
     );
   }
 }
