--- a/tests/gateway/backoff_test.ts
+++ b/tests/gateway/backoff_test.ts
@@ -1,8 +1,9 @@
-/** Two of six engines turned all requests away for nine seconds and asked each host for three seconds without any. Hosts left
- * them out for 150 ms only, a constant that took no notice of what was asked, and sent them up to four requests in those
- * three seconds, 99 in all; callers were refused although four engines were idle, for the attempts of each request went to
- * the two first. What settled it were `request_sent reason=first load=0` for 70 of 86 requests sent between half a second
- * and the end of the time asked for: first attempts, with others free, drawn to the upstreams with the least load. */
+/** Guards against ignoring the backoff that upstreams request. Two of six engines refused all requests for nine seconds
+ * and requested a backoff of three seconds from each host. Hosts avoided them only for a constant 150 ms and sent each
+ * up to four requests per backoff, 99 in all. Callers were refused although four engines were idle, because the
+ * attempts of each request went to these two first. The log shows it as `request_sent reason=first load=0`, here for 70
+ * of the 86 requests sent between half a second and the end of the backoff: first attempts that the lowest load drew to
+ * these upstreams while others were free. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import { answerWell, turnAway } from "../../fakes/fake_worker.ts";
@@ -12,28 +13,29 @@
 import { withGateways } from "./with_gateways.ts";
 
 const KEY = "key-1";
-/** Backoff that workers ask for, in seconds; longer than a test takes. */
+/** Backoff that workers request; longer than a test takes. */
 const BACKOFF_S = 60;
 const CALLS = 60;
-/** Pause between calls, in milliseconds; all calls take several times as long as a full upstream is left out by itself. */
+/** Pause between calls; all calls together take several times as long as a full upstream is avoided by default. */
 const PAUSE_MS = 10;
-/** First and longest time for which an upstream that turns all away is left out, in milliseconds. */
-const FIRST_FULL_MS = 150;
-const MAX_FULL_MS = 2_400;
+/** Initial and maximum time for which an upstream that refuses all requests is avoided. */
+const INITIAL_AVOIDANCE_MS = 150;
+const MAX_AVOIDANCE_MS = 2_400;
 
-/** Times that an upstream may be tried in a time, where the pauses double up to the longest. */
-function countTries(elapsedMs: number): number {
-  const doubled = Math.ceil(Math.log2(elapsedMs / FIRST_FULL_MS + 1));
-  return 1 + doubled + Math.ceil(elapsedMs / MAX_FULL_MS);
+/** Returns how often an upstream may be tried in a period, if the time for which it is avoided doubles up to the
+ * maximum. */
+function countMaxAttempts(elapsedMs: number): number {
+  const doubled = Math.ceil(Math.log2(elapsedMs / INITIAL_AVOIDANCE_MS + 1));
+  return 1 + doubled + Math.ceil(elapsedMs / MAX_AVOIDANCE_MS);
 }
 
-test("upstreams that ask for a backoff get no further request in it, and callers are served by the others", async (t) => {
+test("upstreams that request a backoff get no further request during it, and the others serve callers", async (t) => {
   await withGateways(async (fleet) => {
     const workers = await fleet.startWorkers("s", 6);
     fleet.publishConfiguration(1, [KEY], { max_attempts: 3 });
     const gateway = await fleet.startGateway();
     await waitForStatus(gateway, KEY, 200);
-    // One request is sent on four times at most; with fewer full workers than that each caller is to be served.
+    // A request is sent at maxAttempts four times, so every caller is served while fewer workers than that are full.
     const full = workers.slice(0, 3);
     for (const worker of full) {
       worker.arrivals.length = 0;
@@ -48,7 +50,7 @@
   });
 });
 
-test("where all upstreams asked for a backoff a caller is refused at once as not run, until the first of them ends", async (t) => {
+test("if all upstreams requested a backoff, callers are refused immediately with the end of the first as retry time", async (t) => {
   await withGateways(async (fleet) => {
     const [longer, shorter] = [
       await fleet.startWorker("s"),
@@ -69,7 +71,7 @@
   });
 });
 
-test("an upstream that says in its answers that it leaves gets nothing more, although its entry is unchanged", async (t) => {
+test("an upstream whose responses say that it is leaving gets no more requests, although its entry is unchanged", async (t) => {
   await withGateways(async (fleet) => {
     const [leaving, staying] = [
       await fleet.startWorker("s"),
@@ -81,7 +83,7 @@
     };
     fleet.publishConfiguration(1, [KEY]);
     const gateway = await fleet.startGateway();
-    await waitUntil("it is asked once", async () => {
+    await waitUntil("the leaving worker gets one request", async () => {
       t.is((await call(gateway, KEY)).status, 200);
       return leaving.arrivals.length > 0;
     });
@@ -91,14 +93,14 @@
     leaving.startedAt += 1_000;
     leaving.behaviour = answerWell;
     fleet.publishWorker(leaving, "s", "ready");
-    await waitUntil("another start of it is used", async () => {
+    await waitUntil("the restarted worker is used", async () => {
       await call(gateway, KEY);
       return leaving.arrivals.length > 1;
     });
   });
 });
 
-test("upstreams that turn all away and name no time are tried ever more rarely while others are free", async (t) => {
+test("upstreams that refuse all requests without a backoff are tried less and less often while others are free", async (t) => {
   await withGateways(async (fleet) => {
     const workers = await fleet.startWorkers("s", 8);
     fleet.publishConfiguration(1, [KEY], { max_attempts: 3 });
@@ -109,13 +111,16 @@
       worker.arrivals.length = 0;
       worker.behaviour = turnAway();
     }
-    const from = performance.now();
+    const startedAt = performance.now();
     for (let index = 0; index < 4 * CALLS; index++) {
       await call(gateway, KEY);
       await delay(PAUSE_MS);
     }
-    const most = countTries(performance.now() - from);
+    const maxAttempts = countMaxAttempts(performance.now() - startedAt);
     const arrivals = full.map((worker) => worker.arrivals.length);
-    t.true(arrivals.every((count) => count <= most), `${arrivals}, ${most}`);
+    t.true(
+      arrivals.every((count) => count <= maxAttempts),
+      `${arrivals}, ${maxAttempts}`,
+    );
   });
 });
--- a/tests/gateway/call.ts
+++ b/tests/gateway/call.ts
@@ -3,7 +3,7 @@
 import { randomUUID } from "node:crypto";
 import type { TestGateway } from "./with_gateways.ts";
 
-/** What a caller received. */
+/** The response that a caller received. */
 export interface CallResult {
   status: number;
   headers: Record<string, string | string[] | undefined>;
@@ -11,27 +11,30 @@
 }
 
 /** Sends a request as a caller does.
- * @param to The gateway.
+ * @param gateway The gateway to send it to.
  * @param key Key of a customer.
- * @param changes Path and headers that differ. */
+ * @param changes Path, headers and body that differ from the defaults. */
 export async function call(
-  to: TestGateway,
+  gateway: TestGateway,
   key: string,
   changes: { path?: string; headers?: Record<string, string>; body?: string } =
     {},
 ): Promise<CallResult> {
   const path = changes.path ?? "/a/b?c=d";
-  const response = await request(`http://${to.settings.callerAddress}${path}`, {
-    method: "POST",
-    headers: {
-      host: "a.example",
-      "x-beechkeel-attempt-id": randomUUID(),
-      "x-beechkeel-deadline-ms": "8000",
-      "x-api-key": key,
-      ...changes.headers,
+  const response = await request(
+    `http://${gateway.settings.callerAddress}${path}`,
+    {
+      method: "POST",
+      headers: {
+        host: "a.example",
+        "x-beechkeel-attempt-id": randomUUID(),
+        "x-beechkeel-deadline-ms": "8000",
+        "x-api-key": key,
+        ...changes.headers,
+      },
+      body: changes.body ?? "a body",
     },
-    body: changes.body ?? "a body",
-  });
+  );
   return {
     status: response.statusCode,
     headers: response.headers,
@@ -39,11 +42,11 @@
   };
 }
 
-/** Asks a gateway which addresses to use; empty where it knows of none.
- * @param at The gateway. */
-export async function locate(at: TestGateway): Promise<string[]> {
+/** Looks up the addresses to use; returns an empty list if the gateway knows none.
+ * @param gateway The gateway to ask. */
+export async function locate(gateway: TestGateway): Promise<string[]> {
   const response = await request(
-    `http://${at.settings.locateAddress}/lookup?name=a.example&region=x&zone=h`,
+    `http://${gateway.settings.locateAddress}/lookup?name=a.example&region=x&zone=h`,
   );
   if (response.statusCode !== 200) {
     await response.body.dump();
@@ -53,11 +56,14 @@
   return answer.addresses.sort();
 }
 
-/** Sends raw bytes and returns all that comes back until the connection ends.
- * @param to The gateway.
+/** Sends raw bytes and returns everything received until the connection closes.
+ * @param gateway The gateway to send them to.
  * @param text The bytes. */
-export async function sendRaw(to: TestGateway, text: string): Promise<string> {
-  const [host, port] = to.settings.callerAddress.split(":");
+export async function sendRaw(
+  gateway: TestGateway,
+  text: string,
+): Promise<string> {
+  const [host, port] = gateway.settings.callerAddress.split(":");
   const socket = connect(Number(port), host!);
   const parts: Buffer[] = [];
   socket.on("data", (part) => parts.push(part));
--- a/tests/gateway/choose_addresses_test.ts
+++ b/tests/gateway/choose_addresses_test.ts
@@ -4,10 +4,10 @@
 import { HostTable } from "../../src/peers/host_table.ts";
 import { buildEntry } from "../peers/build_entry.ts";
 
-/** Least and most answers of a large fleet that name one host, as multiples of the mean. */
-const EVEN = [0.6, 1.5] as const;
+/** Minimum and maximum number of address lists of a large fleet that contain one host, as multiples of the mean. */
+const FREQUENCY_RANGE = [0.6, 1.5] as const;
 
-function buildHosts(count: number): PeerEntry[] {
+function buildEntries(count: number): PeerEntry[] {
   return Array.from({ length: count }, (_, index) =>
     buildEntry({
       id: `g-${index}`,
@@ -16,8 +16,8 @@
     }));
 }
 
-/** What a host names that knows all others. */
-function nameFrom(own: PeerEntry, all: readonly PeerEntry[]): string[] {
+/** Returns the addresses that a host chooses if it knows all others. */
+function chooseFrom(own: PeerEntry, all: readonly PeerEntry[]): string[] {
   const table = HostTable.create(own.gossipAddress);
   for (const entry of all) table.hear(entry, 1, 0);
   const { callerAddress } = own;
@@ -27,39 +27,40 @@
   });
 }
 
-test("all hosts of a small fleet are named", (t) => {
-  const all = buildHosts(9);
+test("all hosts of a small fleet are chosen", (t) => {
+  const all = buildEntries(9);
   t.deepEqual(
-    nameFrom(all[4]!, all).sort(),
+    chooseFrom(all[4]!, all).sort(),
     all.map(({ callerAddress }) => callerAddress).sort(),
   );
 });
 
-// All hosts named the same 64, those that the first seed had come to know first.
-test("each of 195 hosts is named about as often as the others", (t) => {
-  const all = buildHosts(195);
+// Guards against all hosts choosing the same 64, those that the first seed discovered first.
+test("each of 195 hosts is chosen about as often as the others", (t) => {
+  const all = buildEntries(195);
   const counts = new Map<string, number>();
   for (const own of all) {
-    for (const address of nameFrom(own, all)) {
+    for (const address of chooseFrom(own, all)) {
       counts.set(address, (counts.get(address) ?? 0) + 1);
     }
   }
-  const mean = [...counts.values()].reduce((sum, one) => sum + one, 0) / 195;
+  const mean = [...counts.values()].reduce((sum, count) => sum + count, 0) /
+    195;
   t.is(counts.size, 195);
-  t.true(Math.min(...counts.values()) >= EVEN[0] * mean);
-  t.true(Math.max(...counts.values()) <= EVEN[1] * mean);
+  t.true(Math.min(...counts.values()) >= FREQUENCY_RANGE[0] * mean);
+  t.true(Math.max(...counts.values()) <= FREQUENCY_RANGE[1] * mean);
 });
 
-test("a host names itself first while it takes requests, and only hosts that do", (t) => {
-  const all = buildHosts(100).map((entry, index) => ({
+test("a host lists itself first while it accepts requests, and lists only hosts that do", (t) => {
+  const all = buildEntries(100).map((entry, index) => ({
     ...entry,
     phase: index % 2 === 0 ? "ready" as const : "draining" as const,
   }));
   const ready = new Set(
-    all.filter(({ phase }) => phase === "ready").map((one) =>
-      one.callerAddress
+    all.filter(({ phase }) => phase === "ready").map((entry) =>
+      entry.callerAddress
     ),
   );
-  t.is(nameFrom(all[2]!, all)[0], all[2]!.callerAddress);
-  t.true(nameFrom(all[3]!, all).every((address) => ready.has(address)));
+  t.is(chooseFrom(all[2]!, all)[0], all[2]!.callerAddress);
+  t.true(chooseFrom(all[3]!, all).every((address) => ready.has(address)));
 });
--- a/tests/gateway/gateway_test.ts
+++ b/tests/gateway/gateway_test.ts
@@ -8,10 +8,10 @@
 import { withGateways } from "./with_gateways.ts";
 
 const KEY = "key-1";
-/** Calls that all miss one of two workers by chance once in 2^40 times. */
+/** Number of calls. They all miss one of two workers by chance with a probability of 2^-40. */
 const CALLS = 40;
 
-test("a request reaches a worker of its route's service unchanged, and its answer comes back", async (t) => {
+test("a request reaches a worker of its route's service unchanged, and its response is returned", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(3, [KEY]);
@@ -32,7 +32,7 @@
   });
 });
 
-test("an unknown key, path or id has its own answer, and nothing is passed on", async (t) => {
+test("requests with an unknown key or path or an invalid id get distinct errors and are not forwarded", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(3, [KEY]);
@@ -46,7 +46,7 @@
   });
 });
 
-test("a gateway without a configuration says that a request has not run, and when to come back", async (t) => {
+test("a gateway without a configuration refuses requests with a retry time", async (t) => {
   await withGateways(async (fleet) => {
     fleet.store.behaviour = "unavailable";
     const gateway = await fleet.startGateway();
@@ -57,17 +57,17 @@
   });
 });
 
-test("gateways find each other by one seed, and each names all", async (t) => {
+test("gateways discover each other through one seed, and each lists all", async (t) => {
   await withGateways(async (fleet) => {
     fleet.publishConfiguration(1, [KEY]);
     const gateways = [];
     for (let index = 0; index < 3; index++) {
       gateways.push(await fleet.startGateway());
     }
-    const all = gateways.map((one) => one.settings.callerAddress).sort();
+    const all = gateways.map((each) => each.settings.callerAddress).sort();
     for (const gateway of gateways) {
       await waitUntil(
-        "all addresses",
+        "all addresses are listed",
         async () => (await locate(gateway)).join() === all.join(),
       );
     }
@@ -75,25 +75,25 @@
   });
 });
 
-test("a gateway that the store turns away hears from another, also of keys taken away", async (t) => {
+test("a gateway that cannot read the store learns changes from another, including revoked keys", async (t) => {
   await withGateways(async (fleet) => {
-    const deaf = await FakeStore.create();
-    deaf.behaviour = "unavailable";
+    const unavailableStore = await FakeStore.create();
+    unavailableStore.behaviour = "unavailable";
     await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY, "key-2"]);
     await fleet.startGateway();
-    const cut = await fleet.startGateway({
-      platformAddress: `127.0.0.1:${deaf.port}`,
+    const isolated = await fleet.startGateway({
+      platformAddress: `127.0.0.1:${unavailableStore.port}`,
     });
-    await waitForStatus(cut, KEY, 200);
+    await waitForStatus(isolated, KEY, 200);
     fleet.publishConfiguration(2, ["key-2"]);
-    await waitForStatus(cut, KEY, 401);
-    t.is((await call(cut, "key-2")).status, 200);
-    await deaf.close();
+    await waitForStatus(isolated, KEY, 401);
+    t.is((await call(isolated, "key-2")).status, 200);
+    await unavailableStore.close();
   });
 });
 
-test("a gateway that hears neither the store nor others stops honouring keys, and says that nothing ran", async (t) => {
+test("a gateway cut off from the store and from others stops accepting keys, and forwards nothing", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
@@ -109,7 +109,7 @@
   });
 });
 
-test("the newest configuration is in force after the store forgot its history", async (t) => {
+test("the newest configuration comes into force after the store dropped its history", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
@@ -122,7 +122,7 @@
   });
 });
 
-test("a value that does not decode is left out, and what was in force stays", async (t) => {
+test("a value that cannot be decoded is ignored, and the previous configuration stays in force", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
@@ -136,7 +136,7 @@
   });
 });
 
-test("a leaving worker gets no new request once that is known", async (t) => {
+test("a draining worker gets no new requests once its state is known", async (t) => {
   await withGateways(async (fleet) => {
     const [leaving, staying] = [
       await fleet.startWorker("s"),
@@ -146,7 +146,7 @@
     const gateway = await fleet.startGateway();
     await waitForStatus(gateway, KEY, 200);
     fleet.publishWorker(leaving, "s", "draining");
-    await waitUntil("only the other is used", async () => {
+    await waitUntil("only the other worker is used", async () => {
       const before = leaving.arrivals.length;
       for (let index = 0; index < CALLS; index++) await call(gateway, KEY);
       return leaving.arrivals.length === before;
@@ -155,10 +155,10 @@
   });
 });
 
-test("a worker whose address another has now is left, and the request runs elsewhere", async (t) => {
+test("a worker whose address now belongs to another is dropped, and the request runs elsewhere", async (t) => {
   await withGateways(async (fleet) => {
     const taken = await fleet.startWorker("s");
-    const sound = await fleet.startWorker("s");
+    const healthy = await fleet.startWorker("s");
     const { address, startedAt } = taken;
     fleet.store.put(
       "servers/former",
@@ -175,13 +175,13 @@
     const gateway = await fleet.startGateway();
     await waitUntilServing(gateway);
     for (let index = 0; index < 12; index++) {
-      t.is((await call(gateway, KEY)).body, sound.id);
+      t.is((await call(gateway, KEY)).body, healthy.id);
     }
     t.is(taken.arrivals.length, 0);
   });
 });
 
-test("a stopping gateway leaves the answers first and finishes what it has taken", async (t) => {
+test("a stopping gateway is withdrawn from address lists and finishes its open requests", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     let release = () => undefined as void;
@@ -193,14 +193,14 @@
     const stopping = await fleet.startGateway();
     const own = stopping.settings.callerAddress;
     await waitUntil(
-      "both are named",
+      "both gateways are listed",
       async () => (await locate(staying)).includes(own),
     );
     const pending = call(stopping, KEY);
     await waitUntil("the request arrived", () => worker.arrivals.length === 1);
     const stopped = stopping.gateway.drain();
     await waitUntil(
-      "it is no longer named",
+      "the stopping gateway is no longer listed",
       async () => !(await locate(staying)).includes(own),
     );
     release();
@@ -209,7 +209,7 @@
   });
 });
 
-test("a shorter time-out of the route holds for requests under way", async (t) => {
+test("a shortened timeout of the route applies to requests in progress", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     worker.behaviour = () => undefined;
@@ -230,20 +230,20 @@
   `POST /a/ HTTP/1.1\r\nHost: a.example\r\nX-Beechkeel-Attempt-Id: r-1\r\nX-Api-Key: ${KEY}\r\n`;
 
 const MALFORMED: Record<string, [text: string, status: number]> = {
-  "a request line that is none": ["nonsense\r\n\r\n", 400],
-  "two lengths": [
+  "an invalid request line": ["nonsense\r\n\r\n", 400],
+  "two content lengths": [
     `${HEAD}Content-Length: 1\r\nContent-Length: 2\r\n\r\nx`,
     400,
   ],
-  "a length and chunks": [
+  "a content length and chunks": [
     `${HEAD}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`,
     400,
   ],
-  "a chunk size that is none": [
+  "an invalid chunk size": [
     `${HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\n`,
     400,
   ],
-  "two hosts": [
+  "two host headers": [
     `${HEAD}Host: b.example\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`,
     400,
   ],
@@ -257,7 +257,7 @@
   ],
 };
 
-test("malformed requests have their answer, and nothing of them is passed on", async (t) => {
+test("malformed requests get an error and are not forwarded", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
--- a/tests/gateway/load_bound_test.ts
+++ b/tests/gateway/load_bound_test.ts
@@ -5,23 +5,25 @@
   type VirtualGatewaysOptions,
 } from "./virtual_gateways.ts";
 
-/** Greatest part of the requests of five seconds that may reach engines above the bound: a third of what is promised. */
-const ALLOWED_ABOVE = 0.01;
+/** Maximum fraction of the requests in a window of five seconds that may reach engines above the load bound: a third of
+ * what is promised. */
+const MAX_FRACTION_ABOVE = 0.01;
 const SEEDS = [1, 2, 3];
-/** Requests in a second that each size of fleet gets. */
-const TRAFFIC = [{ hosts: 7, requestsPerSecond: 120 }, {
+/** Sizes of the tested fleets with their request rates. */
+const FLEETS = [{ hosts: 7, requestsPerSecond: 120 }, {
   hosts: 24,
   requestsPerSecond: 400,
 }];
 
-/** Parts of the requests of the worst five seconds that reach engines above the bound, by seed. */
-function findWorst(
-  size: Pick<VirtualGatewaysOptions, "hosts" | "requestsPerSecond">,
+/** Returns for each seed the fraction of requests in the worst window of five seconds that reach engines above the
+ * bound. */
+function measureWorst(
+  fleet: Pick<VirtualGatewaysOptions, "hosts" | "requestsPerSecond">,
   changes: Partial<VirtualGatewaysOptions>,
 ): number[] {
   return SEEDS.map((seed) => {
     const { worst } = VirtualGateways.run({
-      ...size,
+      ...fleet,
       seed,
       engines: 18,
       slots: 48,
@@ -29,7 +31,7 @@
       hotFromMs: 3_000,
       hotForMs: 60_000,
       hotPrompts: 1,
-      lastsMs: 12_000,
+      trafficMs: 12_000,
       leaving: 0,
       ...changes,
     }).ledger;
@@ -37,21 +39,23 @@
   });
 }
 
-// Each host admitted requests by counts that lacked what the others had started since they told.
-for (const size of TRAFFIC) {
-  test(`${size.hosts} hosts that get one popular prompt keep engines within the load bound`, (t) => {
-    const shares = findWorst(size, { hotShare: 0.6 });
-    t.true(Math.max(...shares) <= ALLOWED_ABOVE, shares.join(" "));
+// Guards against hosts that admit requests by counts that lack the requests that other hosts started since their last
+// report.
+for (const fleet of FLEETS) {
+  test(`${fleet.hosts} hosts with one popular prompt keep engines within the load bound`, (t) => {
+    const fractions = measureWorst(fleet, { hotShare: 0.6 });
+    t.true(Math.max(...fractions) <= MAX_FRACTION_ABOVE, fractions.join(" "));
   });
 
-  test(`${size.hosts} hosts that get no popular prompt keep engines within the load bound`, (t) => {
-    const shares = findWorst(size, {});
-    t.true(Math.max(...shares) <= ALLOWED_ABOVE, shares.join(" "));
+  test(`${fleet.hosts} hosts without a popular prompt keep engines within the load bound`, (t) => {
+    const fractions = measureWorst(fleet, {});
+    t.true(Math.max(...fractions) <= MAX_FRACTION_ABOVE, fractions.join(" "));
   });
 }
 
-// The mean was taken over the engines that take new requests, which is above the mean of the service while others leave.
-test("engines stay within the load bound while others of their service leave", (t) => {
-  const shares = findWorst(TRAFFIC[0]!, { leaving: 5 });
-  t.true(Math.max(...shares) <= ALLOWED_ABOVE, shares.join(" "));
+// Guards against taking the mean over only the engines that accept new requests: it is above the mean of the service
+// while others are leaving.
+test("engines stay within the load bound while others of their service are leaving", (t) => {
+  const fractions = measureWorst(FLEETS[0]!, { leaving: 5 });
+  t.true(Math.max(...fractions) <= MAX_FRACTION_ABOVE, fractions.join(" "));
 });
--- a/tests/gateway/prefix_recovery_test.ts
+++ b/tests/gateway/prefix_recovery_test.ts
@@ -7,24 +7,27 @@
 import { Upstream } from "../../src/upstreams/upstream.ts";
 import { buildUpstream } from "../published/build_published.ts";
 
-/** Start that the entries of these engines tell. */
+/** Start time in the entries of these engines. */
 const STARTED_AT = 5;
 
-/** How engines answer. */
+/** How the engines respond. */
 interface AnswerOptions {
-  /** Start that they tell. */
+  /** Start time that they report. */
   startedAt?: number;
   status?: number;
   availability?: AvailabilityNotice;
-  /** Told of the engines before they are asked. */
+  /** Called with the engines before the recovery runs. */
   prepare?: (engines: readonly Upstream[]) => void;
 }
 
-/** Runs the recovery of a host that hears no other; returns the addresses of the engines that it asked, and how many are
- * taken to keep the part that they list.
- * @param engineCount Engines that are listed.
- * @param answer How they answer. */
-async function recoverAlone(engineCount: number, answer: AnswerOptions = {}) {
+/** Runs the recovery of a host that knows no other. Returns the addresses of the engines that it asked, and how many
+ * engines it has recorded as having the listed part cached.
+ * @param engineCount Number of engines.
+ * @param answer How they respond. */
+async function recoverWithoutPeers(
+  engineCount: number,
+  answer: AnswerOptions = {},
+) {
   const {
     startedAt,
     status = 200,
@@ -64,27 +67,30 @@
   await recovery.run();
   await exchange.close();
   const part = PrefixIndex.nameOf("c0ffee");
-  const { length: keeping } = prefixes.getSightings(part, performance.now());
-  return { asked, keeping, engines };
+  const { length: caching } = prefixes.getSightings(part, performance.now());
+  return { asked, caching, engines };
 }
 
-test("a host that nobody can tell asks each of a few engines once", async (t) => {
-  const { asked, keeping } = await recoverAlone(6);
+test("a host without peers asks each of a few engines once", async (t) => {
+  const { asked, caching } = await recoverWithoutPeers(6);
   t.is(new Set(asked).size, 6);
-  t.is(keeping, 6);
+  t.is(caching, 6);
 });
 
-test("many engines are not asked, however few hosts are heard yet", async (t) => {
-  t.deepEqual((await recoverAlone(42)).asked, []);
+test("many engines are not asked, however few hosts are known", async (t) => {
+  t.deepEqual((await recoverWithoutPeers(42)).asked, []);
 });
 
-test("a list counts for the start of the engine that gave it", async (t) => {
-  t.is((await recoverAlone(2, { startedAt: STARTED_AT })).keeping, 2);
-  t.is((await recoverAlone(2, { startedAt: STARTED_AT + 1 })).keeping, 0);
+test("a list is used only if the engine has not restarted since its entry", async (t) => {
+  t.is((await recoverWithoutPeers(2, { startedAt: STARTED_AT })).caching, 2);
+  t.is(
+    (await recoverWithoutPeers(2, { startedAt: STARTED_AT + 1 })).caching,
+    0,
+  );
 });
 
-test("an engine that asked for a backoff is not asked for its list", async (t) => {
-  const { asked } = await recoverAlone(3, {
+test("an engine that requested a backoff is not asked for its list", async (t) => {
+  const { asked } = await recoverWithoutPeers(3, {
     prepare: ([first]) =>
       first!.availability.note(
         { backoffMs: 60_000, isLeaving: false },
@@ -94,8 +100,8 @@
   t.is(asked.length, 2);
 });
 
-test("what an engine says with its list, or in place of it, is heard", async (t) => {
-  const { engines } = await recoverAlone(1, {
+test("the availability that an engine reports instead of a list is recorded", async (t) => {
+  const { engines } = await recoverWithoutPeers(1, {
     status: 503,
     availability: { backoffMs: 60_000, isLeaving: true },
   });
--- a/tests/gateway/restart_reads_test.ts
+++ b/tests/gateway/restart_reads_test.ts
@@ -5,22 +5,22 @@
 
 const KEY = "key-1";
 
-test("a host that starts beside others reads nothing of the platform before it serves", async (t) => {
+test("a host that joins a running fleet serves without reading a snapshot from the platform", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(3, [KEY]);
     const first = await fleet.startGateway();
     await waitUntilServing(first);
     const { gossipAddress } = first.settings;
-    const readBefore = fleet.store.snapshotReads;
+    const readsBefore = fleet.store.snapshotReads;
     const second = await fleet.startGateway({ seedAddresses: [gossipAddress] });
     await waitUntilServing(second);
     t.is((await call(second, KEY)).status, 200);
-    t.is(fleet.store.snapshotReads, readBefore);
+    t.is(fleet.store.snapshotReads, readsBefore);
   });
 });
 
-test("a host whose seeds are silent reads the platform itself", async (t) => {
+test("a host whose seeds do not respond reads the platform itself", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(3, [KEY]);
--- a/tests/gateway/suspension_test.ts
+++ b/tests/gateway/suspension_test.ts
@@ -4,21 +4,21 @@
 import { withGateways } from "./with_gateways.ts";
 
 const KEY = "key-1";
-/** Beyond the bound on old keys of these tests. */
-const GAP_MS = 10_000;
+/** Longer than the time after which revoked keys are no longer accepted in these tests. */
+const SUSPENSION_MS = 10_000;
 
-/** Runs a test body after the time of day went on and the steady clock did not, as after a suspension. */
+/** Runs a test body after the wall clock advanced and the monotonic clock did not, as after a suspension. */
 async function afterSuspension(body: () => Promise<void>): Promise<void> {
-  const readTimeOfDay = Date.now;
-  Date.now = () => readTimeOfDay() + GAP_MS;
+  const readWallClock = Date.now;
+  Date.now = () => readWallClock() + SUSPENSION_MS;
   try {
     await body();
   } finally {
-    Date.now = readTimeOfDay;
+    Date.now = readWallClock;
   }
 }
 
-test.serial("a host that was suspended honours no key until it has heard again", async (t) => {
+test.serial("a resumed host accepts no key until its publication is up to date again", async (t) => {
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
--- a/tests/gateway/virtual_engine.ts
+++ b/tests/gateway/virtual_engine.ts
@@ -3,30 +3,30 @@
 import type { VirtualTimeline } from "../clock/virtual_timeline.ts";
 import { buildUpstream } from "../published/build_published.ts";
 
-/** What an engine is made of. */
+/** Options of a {@link VirtualEngine}. */
 export interface VirtualEngineOptions {
   timeline: VirtualTimeline;
-  /** Its number. */
+  /** Index of the engine, from which its id and address follow. */
   index: number;
-  /** Requests it works on at once. */
+  /** Number of requests that it runs at once. */
   slots: number;
   hall: string;
 }
 
-/** An engine in virtual time. */
+/** A simulated engine in virtual time. */
 export class VirtualEngine {
-  /** Requests it holds. */
+  /** Number of requests in progress. */
   held = 0;
   private readonly timing = EngineTiming.create();
 
   private constructor(
     private readonly timeline: VirtualTimeline,
-    /** What it publishes. */
+    /** The entry that it publishes. */
     readonly published: ReturnType<typeof buildUpstream>,
   ) {}
 
   /** Creates an idle engine.
-   * @param options What it is made of. */
+   * @param options Its options. */
   static create(options: VirtualEngineOptions): VirtualEngine {
     const { timeline, index, slots, hall } = options;
     const published = buildUpstream({
@@ -39,15 +39,15 @@
     return new VirtualEngine(timeline, published);
   }
 
-  /** Tokens of shared prompts that it had to read. */
+  /** Number of tokens of shared prompts that it had to read because they were not cached. */
   get readTokens(): number {
     return this.timing.readTokens;
   }
 
   /** Runs a request.
    * @param request The request.
-   * @param onHead Called with the first event.
-   * @param onEnd Called with the last. */
+   * @param onHead Called at the first event.
+   * @param onEnd Called at the last event. */
   run(request: PromptRequest, onHead: () => void, onEnd: () => void): void {
     const { timeline, timing } = this;
     const { prompt, tokens, events } = request;
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -20,29 +20,29 @@
 import { VirtualEngine } from "./virtual_engine.ts";
 
 const SILENT = pino({ level: "silent" });
-const HALLS = 4;
-/** Time of a datagram on its way, in milliseconds. */
-const DELIVERY_MS = [1, 4] as const;
-/** Time of a request from a host to an engine, in milliseconds. */
-const SENDING_MS = [1, 3] as const;
-/** Time after which other hosts of a large fleet know which engines keep a part, in milliseconds. */
-const DIRECTORY_MS = 20;
-/** Time in which a host reads all hosts that another knows, in milliseconds. */
-const HOSTS_READ_MS = 10;
-/** Time in which hosts find each other before there is traffic, in milliseconds. */
-const LEAD_MS = 4_000;
+const HALL_COUNT = 4;
+/** Minimum and maximum latency of a datagram. */
+const DELIVERY_DELAY_RANGE_MS = [1, 4] as const;
+/** Minimum and maximum latency of a request from a host to an engine. */
+const SEND_DELAY_RANGE_MS = [1, 3] as const;
+/** Time after which all hosts of a large fleet know which engines have a prompt part cached. */
+const PREFIX_PROPAGATION_MS = 20;
+/** Time that a host takes to fetch all hosts that another host knows. */
+const HOSTS_FETCH_MS = 10;
+/** Time in which the hosts discover each other before the traffic starts. */
+const WARM_UP_MS = 4_000;
 const BOUND_MULTIPLE = 2;
 
-/** What a fleet in virtual time is made of. */
+/** Options of {@link VirtualGateways}. */
 export interface VirtualGatewaysOptions extends PromptTrafficOptions {
   seed: number;
   hosts: number;
   engines: number;
-  /** Requests that an engine works on at once. */
+  /** Number of requests that an engine runs at once. */
   slots: number;
-  /** Time of traffic, in milliseconds. */
-  lastsMs: number;
-  /** Engines that say at `hotFromMs` that they leave; they serve on until the end. */
+  /** Duration of the traffic, in milliseconds. */
+  trafficMs: number;
+  /** Number of engines that publish at `hotFromMs` that they are leaving; they serve until the end. */
   leaving: number;
 }
 
@@ -53,13 +53,13 @@
   handlers: Map<DatagramType, DatagramHandler<DatagramType>>;
 }
 
-/** Gateways with their own decisions and gossip before engines, all in one virtual time. */
+/** Simulates gateways with the real upstream choice and gossip in front of engines, all in virtual time. */
 export class VirtualGateways {
   readonly timeline = VirtualTimeline.create();
-  /** What the engines were sent. */
+  /** Loads of the engines as requests reached them. */
   readonly ledger = BoundLedger.create(BOUND_MULTIPLE);
-  /** Requests by what decided their engine. */
-  readonly bases = new Map<string, number>();
+  /** Number of requests by the basis on which their engine was chosen. */
+  readonly choiceCounts = new Map<string, number>();
   readonly engines: VirtualEngine[];
   private readonly hosts: VirtualHost[];
   private readonly random: Random;
@@ -84,23 +84,26 @@
     );
   }
 
-  /** Runs a fleet to its end.
-   * @param options What it is made of. */
+  /** Runs a simulation to its end.
+   * @param options Its options. */
   static run(options: VirtualGatewaysOptions): VirtualGateways {
     const fleet = new VirtualGateways(options);
     fleet.startTraffic();
     const { leaving, hotFromMs } = options;
     fleet.timeline.after(
-      LEAD_MS + hotFromMs,
+      WARM_UP_MS + hotFromMs,
       () => fleet.publishLeaving(leaving),
     );
-    fleet.timeline.runUntil(LEAD_MS + options.lastsMs);
+    fleet.timeline.runUntil(WARM_UP_MS + options.trafficMs);
     return fleet;
   }
 
-  /** Part of the tokens of shared prompts that engines did not have to read. */
-  get reuse(): number {
-    const read = this.engines.reduce((sum, one) => sum + one.readTokens, 0);
+  /** Fraction of the tokens of shared prompts that engines had cached and did not have to read. */
+  get cachedFraction(): number {
+    const read = this.engines.reduce(
+      (sum, engine) => sum + engine.readTokens,
+      0,
+    );
     return 1 - read / Math.max(1, this.sharedTokens);
   }
 
@@ -155,7 +158,7 @@
   ): void {
     const other = this.hosts.find(({ address }) => address === gossipAddress);
     this.timeline.after(
-      HOSTS_READ_MS,
+      HOSTS_FETCH_MS,
       () => done(other?.gossip.getHostStates()),
     );
   }
@@ -175,7 +178,7 @@
       countHosts: () => 1 + this.getLiveCount(index),
       countBudgetHosts: () => this.options.hosts,
       getLapseEndsAt: () => -Infinity,
-      onPrefixUpdates: () => this.tellFacts(index),
+      onPrefixUpdates: () => this.sharePrefixUpdates(index),
       onRestart: () => undefined,
       onAvailability: () => undefined,
       onDrop: () => undefined,
@@ -199,11 +202,11 @@
     return gossip.hosts.getLive(this.timeline.read()).length;
   }
 
-  private tellFacts(index: number): void {
+  private sharePrefixUpdates(index: number): void {
     const { gossip, chooser } = this.hosts[index]!;
     if (!gossip.isLargeFleet) return gossip.announce();
     const facts = chooser.prefixes.takeAllFacts();
-    this.timeline.after(DIRECTORY_MS, () => {
+    this.timeline.after(PREFIX_PROPAGATION_MS, () => {
       for (const host of this.hosts) {
         host.chooser.prefixes.learn(facts, this.timeline.read());
       }
@@ -212,7 +215,7 @@
 
   private deliver(from: string, to: string, datagram: Datagram): void {
     const copy = structuredClone(datagram);
-    this.timeline.after(this.random.integer(...DELIVERY_MS), () => {
+    this.timeline.after(this.random.integer(...DELIVERY_DELAY_RANGE_MS), () => {
       const host = this.hosts.find(({ address }) => address === to);
       host?.handlers.get(datagram.type)?.(copy, from);
     });
@@ -222,20 +225,20 @@
     const { options, timeline, random } = this;
     const traffic = PromptTraffic.create(options, random);
     const sendNext = () => {
-      const elapsedMs = timeline.read() - LEAD_MS;
-      if (elapsedMs > options.lastsMs) return;
-      this.sendFrom(random.pick(this.hosts), traffic.drawRequest(elapsedMs));
+      const elapsedMs = timeline.read() - WARM_UP_MS;
+      if (elapsedMs > options.trafficMs) return;
+      this.sendRequest(random.pick(this.hosts), traffic.drawRequest(elapsedMs));
       timeline.after(traffic.drawPauseMs(), sendNext);
     };
-    timeline.after(LEAD_MS, sendNext);
+    timeline.after(WARM_UP_MS, sendNext);
   }
 
-  private sendFrom(host: VirtualHost, request: PromptRequest): void {
+  private sendRequest(host: VirtualHost, request: PromptRequest): void {
     const access = host.chooser.createAccess();
     const call = buildCall(request);
     const choice = access.choose(call, new Set())!;
     const { upstream, basis } = choice;
-    this.bases.set(basis, (this.bases.get(basis) ?? 0) + 1);
+    this.choiceCounts.set(basis, (this.choiceCounts.get(basis) ?? 0) + 1);
     access.placePrompt(call, upstream);
     this.sharedTokens += request.tokens;
     upstream.ownRequests += 1;
@@ -244,7 +247,7 @@
     )!;
     const { timeline } = this;
     const sentAt = timeline.read();
-    timeline.after(this.random.integer(...SENDING_MS), () => {
+    timeline.after(this.random.integer(...SEND_DELAY_RANGE_MS), () => {
       this.ledger.note(timeline.read(), engine.held, this.engines);
       engine.run(
         request,
@@ -263,7 +266,7 @@
 }
 
 function getHall(index: number): string {
-  return `h-${index % HALLS}`;
+  return `h-${index % HALL_COUNT}`;
 }
 
 function getAddress(index: number): string {
--- a/tests/gateway/with_gateways.ts
+++ b/tests/gateway/with_gateways.ts
@@ -10,25 +10,25 @@
 import type { GatewaySettings } from "../../src/gateway/gateway_settings.ts";
 import { getFreePort } from "../../tools/free_port.ts";
 
-/** Bound on old keys in these tests, in milliseconds; many times a watch. */
-const KEY_BELIEF_MS = 5_000;
+/** Time after which revoked keys are no longer accepted in these tests; several times the wait of a long poll. */
+const KEY_REVOCATION_LIMIT_MS = 5_000;
 
-/** Requests that a worker of these tests takes at once. */
+/** Number of requests that a worker of these tests runs at once. */
 const SLOTS = 8;
 
-/** One gateway of a test with its settings. */
+/** A gateway of a test with its settings. */
 export interface TestGateway {
   gateway: Gateway;
   settings: GatewaySettings;
 }
 
-/** A store, workers and gateways of one test. */
+/** The store, the workers and the gateways of a test. */
 export class GatewayFleet {
   readonly gateways: TestGateway[] = [];
   readonly workers: FakeWorker[] = [];
 
   private constructor(
-    /** The store that all gateways read but those started with another. */
+    /** The store that gateways read unless they are started with another. */
     readonly store: FakeStore,
   ) {}
 
@@ -38,7 +38,7 @@
   }
 
   /** Starts a gateway.
-   * @param changes Settings that differ. */
+   * @param changes Settings that differ from the defaults. */
   async startGateway(
     changes: Partial<GatewaySettings> = {},
   ): Promise<TestGateway> {
@@ -56,7 +56,7 @@
   }
 
   /** Starts a worker and publishes it.
-   * @param service Service it belongs to. */
+   * @param service Service of the worker. */
   async startWorker(service: string): Promise<FakeWorker> {
     const worker = await FakeWorker.create(`w-${this.workers.length}`);
     this.workers.push(worker);
@@ -65,8 +65,8 @@
   }
 
   /** Starts several workers of a service and publishes them.
-   * @param service Service they belong to.
-   * @param count How many. */
+   * @param service Service of the workers.
+   * @param count Number of workers. */
   async startWorkers(service: string, count: number): Promise<FakeWorker[]> {
     const workers: FakeWorker[] = [];
     for (let index = 0; index < count; index++) {
@@ -77,7 +77,7 @@
 
   /** Publishes a worker's state.
    * @param worker The worker.
-   * @param service Service it belongs to.
+   * @param service Service of the worker.
    * @param state `ready` or `draining`. */
   publishWorker(
     worker: FakeWorker,
@@ -91,10 +91,10 @@
     );
   }
 
-  /** Publishes a configuration with one route to service `s` under `/a/`.
-   * @param version Its version.
+  /** Publishes a configuration with a single route, from `/a/` to service `s`.
+   * @param version Version of the configuration.
    * @param keys Keys of its only customer.
-   * @param changes What differs in the route. */
+   * @param changes Fields of the route that differ from the defaults. */
   publishConfiguration(
     version: number,
     keys: readonly string[],
@@ -118,7 +118,7 @@
     });
   }
 
-  /** Ends everything. */
+  /** Closes the gateways, the workers and the store. */
   async close(): Promise<void> {
     for (const { gateway } of this.gateways) await gateway.close();
     for (const worker of this.workers) await worker.close();
@@ -148,14 +148,14 @@
       peerAddress: peer,
       gossipAddress: gossip,
       metricsAddress: metrics,
-      seedAddresses: this.gateways.slice(0, 1).map((one) =>
-        one.settings.gossipAddress
+      seedAddresses: this.gateways.slice(0, 1).map((first) =>
+        first.settings.gossipAddress
       ),
       platformAddress: `127.0.0.1:${this.store.port}`,
       isFirstStart: true,
       leaveWithinMs: 2_000,
       stopWithinMs: 8_000,
-      keyBeliefMs: KEY_BELIEF_MS,
+      keyBeliefMs: KEY_REVOCATION_LIMIT_MS,
       retryRatio: 0.2,
       retryWindowMs: 10_000,
       retryExtra: 50,
@@ -165,8 +165,8 @@
   }
 }
 
-/** Runs a test body on a fleet of its own and ends the fleet after it.
- * @param body The test. */
+/** Runs a test body with its own fleet, and closes the fleet afterwards.
+ * @param body The test body. */
 export async function withGateways(
   body: (fleet: GatewayFleet) => Promise<void>,
 ): Promise<void> {
--- a/tests/gateway/worker_entry_test.ts
+++ b/tests/gateway/worker_entry_test.ts
@@ -6,10 +6,10 @@
 import { withGateways } from "./with_gateways.ts";
 
 const KEY = "key-1";
-/** Calls that all miss one of two workers by chance once in 2^40 times. */
+/** Number of calls. They all miss one of two workers by chance with a probability of 2^-40. */
 const CALLS = 40;
 
-test("a request on a worker that has started again under its id goes elsewhere at once", async (t) => {
+test("requests on a worker that restarts under its id are retried elsewhere immediately", async (t) => {
   await withGateways(async (fleet) => {
     const [restarted, other] = [
       await fleet.startWorker("s"),
@@ -21,7 +21,10 @@
     const gateway = await fleet.startGateway();
     await waitUntilServing(gateway);
     const answers = Array.from({ length: 4 }, () => call(gateway, KEY));
-    await waitUntil("one is taken", () => restarted.arrivals.length > 0);
+    await waitUntil(
+      "the worker has a request",
+      () => restarted.arrivals.length > 0,
+    );
     restarted.behaviour = answerWell;
     restarted.startedAt += 1_000;
     fleet.publishWorker(restarted, "s", "ready");
@@ -30,23 +33,23 @@
   });
 });
 
-test("an entry that another writer spoiled names no worker any more, and the others stay", async (t) => {
+test("a corrupted entry removes its worker, and the others stay", async (t) => {
   await withGateways(async (fleet) => {
-    const [spoiled, sound] = [
+    const [corrupted, healthy] = [
       await fleet.startWorker("s"),
       await fleet.startWorker("s"),
     ];
     fleet.publishConfiguration(1, [KEY]);
     const gateway = await fleet.startGateway();
     await waitForStatus(gateway, KEY, 200);
-    fleet.store.putText(`servers/${spoiled.id}`, "\u0000 no entry");
-    await waitUntil("only the other is used", async () => {
-      const before = spoiled.arrivals.length;
+    fleet.store.putText(`servers/${corrupted.id}`, "\u0000 no entry");
+    await waitUntil("only the other worker is used", async () => {
+      const before = corrupted.arrivals.length;
       for (let index = 0; index < CALLS; index++) {
         t.is((await call(gateway, KEY)).status, 200);
       }
-      return spoiled.arrivals.length === before;
+      return corrupted.arrivals.length === before;
     });
-    t.true(sound.arrivals.length >= CALLS);
+    t.true(healthy.arrivals.length >= CALLS);
   });
 });
