--- a/tests/gateway/backoff_test.ts
+++ b/tests/gateway/backoff_test.ts
@@ -1,9 +1,9 @@
 /** Guards against ignoring the backoff that upstreams request. Two of six engines refused all requests for nine seconds
- * and requested a backoff of three seconds from each host. Hosts avoided them only for a constant 150 ms and sent each
- * up to four requests per backoff, 99 in all. Callers were refused although four engines were idle, because the
- * attempts of each request went to these two first. The log shows it as `request_sent reason=first load=0`, here for 70
- * of the 86 requests sent between half a second and the end of the backoff: first attempts that the lowest load drew to
- * these upstreams while others were free. */
+ * and requested a backoff of three seconds from each host. Hosts avoided them only for a constant 150 ms and sent them
+ * up to four requests in those three seconds, 99 in all. Callers were refused although four engines were idle, because
+ * the attempts of each request went to these two first. The log shows it as `request_sent reason=first load=0`, here
+ * for 70 of the 86 requests sent between half a second and the end of the backoff: first attempts that the lowest load
+ * drew to these upstreams while others were free. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import { answerWell, turnAway } from "../../fakes/fake_worker.ts";
