--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -20,7 +20,8 @@
 /** Dependencies of a {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   logger: Logger;
-  /** Returns the current settings; the address to listen on is read once. */
+  /** Returns the current settings; the gossip address, and the hall for the choice of gossip partners, are read
+   * once. */
   getSettings: () => GatewaySettings;
   published: PublicationKeeper;
   chooser: UpstreamChooser;
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -39,7 +39,7 @@
 /** Dependencies and callbacks of an {@link UpstreamChooser}. */
 export interface UpstreamChooserOptions {
   logger: Logger;
-  /** Returns the current settings; called for each choice. */
+  /** Returns the current settings; called for each choice, but `leaveWithinMs` is read once. */
   getSettings: () => ChooserSettings;
   /** Returns a published service, or undefined if there is none of that name. */
   getService: (name: string) => Service | undefined;
