--- a/src/gateway/call_handler.ts
+++ b/src/gateway/call_handler.ts
@@ -20,72 +20,73 @@
 import type { Upstream } from "../upstreams/upstream.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 
-/** Time for which a request waits at most for the first configuration after a start, in milliseconds: below a quarter
- * of most objectives beyond what a first read of the platform takes. */
-const FIRST_ROUTES_WAIT_MS = 250;
+/** Maximum time that a request waits for the first configuration after a start. Longer than a first read of the
+ * platform takes, and less than a quarter of most routes' latency objectives. */
+const INITIAL_CONFIGURATION_TIMEOUT_MS = 250;
 
-/** Limits until the first configuration tells others. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits that apply until the first configuration is received. */
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
 
-/** What the handler needs of the rest of the process. */
+/** Dependencies and callbacks of a {@link CallHandler}. */
 export interface CallHandlerOptions {
   logger: Logger;
   metrics: GatewayMetrics;
   codec: HeaderCodec;
   getRoutes: () => RouteTable | undefined;
-  /** Resolves with the first configuration. */
-  firstRoutes: Promise<void>;
-  /** Whether what is known of keys is new enough to honour them. */
-  mayHonourKeys: () => boolean;
-  /** Age of what is known, in milliseconds, for the log. */
-  getAgeMs: () => number;
-  /** Whether connections are to be closed after their answer. */
+  /** Resolves when the first configuration is received. */
+  initialRoutes: Promise<void>;
+  /** Whether the known keys are recent enough to be accepted. */
+  mayAcceptKeys: () => boolean;
+  /** Age of the known publication in milliseconds, for the log. */
+  getPublicationAgeMs: () => number;
+  /** Whether callers' connections are closed after their responses. */
   isLeaving: () => boolean;
-  /** Told of each request that is sent on for the first time. */
-  onFirstSend: (service: string) => void;
-  /** Finds out which engines keep a part of a prompt; nothing where there is nobody to ask. */
-  learnPart: (part: number) => Promise<void> | undefined;
+  /** Called once for each admitted request, before its first attempt. */
+  onRequestAdmitted: (service: string) => void;
+  /** Looks up which engines have a prompt part cached; returns undefined if no other host needs to be asked. */
+  lookUpPart: (part: number) => Promise<void> | undefined;
   upstreamAccess: UpstreamAccess;
   guard: CrashGuard;
 }
 
-/** Takes callers' requests from their heads to their runs. */
+/** Admits callers' requests, reads their bodies and starts their runs. */
 export class CallHandler {
   private readonly runs = new Set<CallRun>();
-  private reading = 0;
+  private pendingAdmissions = 0;
 
   private constructor(private readonly options: CallHandlerOptions) {}
 
   /** Creates a handler.
-   * @param options What it needs. */
+   * @param options Its dependencies and callbacks. */
   static create(options: CallHandlerOptions): CallHandler {
     return new CallHandler(options);
   }
 
-  /** Requests that have not been answered. */
+  /** Number of requests that have not been answered. */
   get openCalls(): number {
-    return this.runs.size + this.reading;
+    return this.runs.size + this.pendingAdmissions;
   }
 
-  /** Takes a request.
+  /** Handles a request of a caller.
    * @param request The request.
-   * @param response Where its answer is written. */
+   * @param response The response to it. */
   handle(request: IncomingMessage, response: ServerResponse): void {
     const receivedAt = readClock();
     const headers = this.options.codec.readCaller(request.rawHeaders);
     const answer = CallerAnswer.create(response, this.options.isLeaving);
-    this.reading += 1;
-    void this.read(request, response, headers, answer, receivedAt).finally(
-      () => this.reading -= 1,
-    );
+    this.pendingAdmissions += 1;
+    void this.admitAndRun(request, response, headers, answer, receivedAt)
+      .finally(
+        () => this.pendingAdmissions -= 1,
+      );
   }
 
-  /** Takes over a configuration for the requests under way.
+  /** Applies a configuration to the requests in progress.
    * @param routes The routes in force. */
   applyRoutes(routes: RouteTable): void {
     for (const run of this.runs) {
@@ -93,21 +94,21 @@
     }
   }
 
-  /** Ends the unanswered runs of a request that is held back from now on.
-   * @param fingerprint Its fingerprint. */
-  holdBack(fingerprint: number): void {
+  /** Ends the unanswered runs of a request that is held from now on because it crashes upstreams.
+   * @param fingerprint Fingerprint of the request. */
+  endHeldRuns(fingerprint: number): void {
     for (const run of [...this.runs]) {
       if (run.call.fingerprint === fingerprint) run.holdBack();
     }
   }
 
-  /** Fails the attempts on a start of an upstream that is no more.
-   * @param upstream The start. */
-  loseUpstream(upstream: Upstream): void {
+  /** Fails the attempts on an upstream process that no longer runs.
+   * @param upstream The upstream as it was before its restart. */
+  failAttemptsOn(upstream: Upstream): void {
     for (const run of [...this.runs]) run.loseUpstream(upstream);
   }
 
-  private async read(
+  private async admitAndRun(
     request: IncomingMessage,
     response: ServerResponse,
     headers: CallerHeaders,
@@ -115,14 +116,14 @@
     receivedAt: number,
   ): Promise<void> {
     try {
-      await this.waitForRoutes();
-      const limits = this.options.getRoutes()?.limits ?? FIRST_LIMITS;
+      await this.waitForInitialRoutes();
+      const limits = this.options.getRoutes()?.limits ?? DEFAULT_LIMITS;
       checkHeaderSize(request, limits);
       const admitted = this.admit(request, headers, receivedAt);
       const deepest = admitted.sharedParts.at(-1);
-      const learning = deepest && this.options.learnPart(deepest.name);
+      const lookup = deepest && this.options.lookUpPart(deepest.name);
       const body = await readBody(request, limits.maxBodyBytes);
-      if (learning) await learning;
+      if (lookup) await lookup;
       if (response.destroyed) return;
       this.start(admitted, body, answer, response);
     } catch (thrown) {
@@ -131,11 +132,14 @@
     }
   }
 
-  /** Waits a little where there is no configuration yet; it is asked for as soon as the process starts. */
-  private async waitForRoutes(): Promise<void> {
+  /** Waits briefly if there is no configuration yet; it is requested as soon as the process starts. */
+  private async waitForInitialRoutes(): Promise<void> {
     if (this.options.getRoutes()) return;
-    const { firstRoutes } = this.options;
-    await Promise.race([firstRoutes, delay(FIRST_ROUTES_WAIT_MS)]);
+    const { initialRoutes } = this.options;
+    await Promise.race([
+      initialRoutes,
+      delay(INITIAL_CONFIGURATION_TIMEOUT_MS),
+    ]);
   }
 
   private admit(
@@ -149,7 +153,7 @@
       method: request.method ?? "GET",
       path: request.url ?? "/",
       receivedAt,
-      mayHonourKeys: this.options.mayHonourKeys(),
+      mayHonourKeys: this.options.mayAcceptKeys(),
     });
     if (admitted.isErr()) throw admitted.error;
     return admitted.value;
@@ -161,10 +165,10 @@
     answer: CallerAnswer,
     response: ServerResponse,
   ): void {
-    const call = completeCall(admitted, body);
+    const call = buildRoutedCall(admitted, body);
     const refusal = this.options.guard.findRefusal(call.fingerprint);
     if (refusal) throw refusal;
-    this.options.onFirstSend(call.service);
+    this.options.onRequestAdmitted(call.service);
     const { logger, codec, guard } = this.options;
     let isEnded = false;
     const run = CallRun.create(call, answer, {
@@ -175,7 +179,7 @@
       onEnd: (ended, outcome) => {
         isEnded = true;
         this.runs.delete(ended);
-        this.noteEnd(call, outcome);
+        this.recordEnd(call, outcome);
       },
     });
     if (isEnded) return;
@@ -185,9 +189,9 @@
     });
   }
 
-  private noteEnd(call: RoutedCall, outcome: CallOutcome): void {
+  private recordEnd(call: RoutedCall, outcome: CallOutcome): void {
     const { result, detail, durationMs, attempts } = outcome;
-    this.options.metrics.noteRequest(call.route.kind, result, durationMs);
+    this.options.metrics.recordRequest(call.route.kind, result, durationMs);
     this.options.logger.info({
       request: call.requestId,
       route: call.route.name,
@@ -207,21 +211,21 @@
     answer: CallerAnswer,
     request: IncomingMessage,
   ): void {
-    this.options.metrics.noteRefusal(failure.kind);
+    this.options.metrics.recordRefusal(failure.kind);
     this.options.logger.info({
       request: headers.requestId,
       kind: failure.kind,
       detail: failure.detail,
       configuration: this.options.getRoutes()?.version,
-      ageMs: Math.round(this.options.getAgeMs()),
+      ageMs: Math.round(this.options.getPublicationAgeMs()),
     }, "request_refused");
     answer.refuse(failure);
     if (!request.complete) request.resume();
   }
 }
 
-function completeCall(admitted: AdmittedCall, read: Buffer): RoutedCall {
-  const body = read.length > 0 ? read : undefined;
+function buildRoutedCall(admitted: AdmittedCall, bytes: Buffer): RoutedCall {
+  const body = bytes.length > 0 ? bytes : undefined;
   const { method, path, customer, headers: { host } } = admitted;
   const identity = { method, host, path, customer, body };
   return { ...admitted, body, fingerprint: fingerprintRequest(identity) };
--- a/src/gateway/fleet_link.ts
+++ b/src/gateway/peer_network.ts
@@ -14,37 +14,39 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { HostExchange } from "./host_exchange.ts";
 import type { PublicationExchange } from "./publication_exchange.ts";
-import { recordToldLoads } from "./record_told_loads.ts";
+import { recordPeerLoads } from "./record_told_loads.ts";
 import type { UpstreamChooser } from "./upstream_chooser.ts";
 
-/** What the link needs of the gateway. */
-export interface FleetLinkOptions {
+/** Dependencies of a {@link PeerNetwork}. */
+export interface PeerNetworkOptions {
   logger: Logger;
-  /** The settings in force; the address to listen on is read once. */
+  /** Returns the current settings; the gossip address, and the hall for the choice of gossip partners, are read
+   * once. */
   getSettings: () => GatewaySettings;
-  keeper: PublicationKeeper;
+  published: PublicationKeeper;
   chooser: UpstreamChooser;
   publicationExchange: PublicationExchange;
   metrics: GatewayMetrics;
   guard: CrashGuard;
-  /** What this host is doing. */
+  /** Returns the lifecycle phase of this host. */
   getPhase: () => PeerEntry["phase"];
-  /** Ids of the hosts to ask how old what they know of the publication is. */
+  /** Returns the ids of the hosts to query for the age of their publication. */
   getSourceIds: () => readonly string[];
 }
 
-/** What this host and the others tell and ask each other by datagrams. In a small fleet every host hears all others in
- * each round; in a large one hosts hear few at a time, and ask those that know. */
-export class FleetLink {
-  /** Tells other hosts all hosts that are known here. */
+/** The communication between the hosts of the fleet, over datagrams. In a small fleet every host receives the state of
+ * all others in each gossip round. In a large fleet a host hears from few others per round, and queries those that know
+ * more. */
+export class PeerNetwork {
+  /** Serves the list of all known hosts to other hosts, and fetches theirs. */
   readonly hostExchange: HostExchange;
   private readonly gossip: Gossip;
-  private readonly questions: AgeQuestions;
+  private readonly ageQueries: AgeQuestions;
   private readonly directory: PrefixDirectory;
   private readonly crashGossip: CrashGossip;
 
   private constructor(
-    private readonly options: FleetLinkOptions,
+    private readonly options: PeerNetworkOptions,
     private readonly socket: DatagramSocket,
   ) {
     const { gossipAddress } = options.getSettings();
@@ -53,76 +55,77 @@
       () => this.gossip.getHostStates(),
     );
     this.gossip = this.createGossip(gossipAddress);
-    this.questions = AgeQuestions.create({
+    this.ageQueries = AgeQuestions.create({
       socket,
-      getSources: () => this.findAddresses(options.getSourceIds()),
-      getWord: () => this.getWord(),
-      onWord: (sender, word, askedAt) => {
+      getSources: () => this.getGossipAddresses(options.getSourceIds()),
+      getWord: () => this.getPublicationSummary(),
+      onWord: (sender, summary, askedAt) => {
         const host = this.gossip.hosts.getHost(sender);
-        if (host) this.takeWord(host.entry, word, askedAt);
+        if (host) this.reconcilePublication(host.entry, summary, askedAt);
       },
     });
     this.directory = PrefixDirectory.create({
       socket,
       prefixes: options.chooser.prefixes,
       ownAddress: gossipAddress,
-      getHosts: () => this.getStayingAddresses(),
+      getHosts: () => this.getNonDrainingAddresses(),
     });
     this.crashGossip = this.createCrashGossip();
   }
 
-  /** Opens the link.
-   * @param options What it needs.
-   * @throws The system's error where its address can't be listened on. */
-  static async create(options: FleetLinkOptions): Promise<FleetLink> {
+  /** Opens the socket and starts the communication.
+   * @param options Its dependencies.
+   * @throws The system's error if it can't listen on the gossip address. */
+  static async create(options: PeerNetworkOptions): Promise<PeerNetwork> {
     const { logger, metrics, getSettings } = options;
     const { gossipAddress } = getSettings();
     const socket = await DatagramSocket.create(
       gossipAddress,
       logger,
-      (direction, bytes) => metrics.noteDatagram(direction, bytes),
+      (direction, bytes) => metrics.recordDatagram(direction, bytes),
     );
-    return new FleetLink(options, socket);
+    return new PeerNetwork(options, socket);
   }
 
-  /** The other hosts that are heard. */
+  /** Returns the other live hosts. */
   getLiveHosts(): readonly KnownHost[] {
     return this.gossip.hosts.getLive(readClock());
   }
 
-  /** Hosts that may share a budget of the fleet, this one too: all that are remembered, for those that are lost here may live
-   * elsewhere. */
-  countSharingHosts(): number {
+  /** Counts the hosts that may share a fleet-wide budget, including this one: all known hosts, because a host that is
+   * lost from here may still be reachable by others. */
+  countBudgetHosts(): number {
     return 1 + this.gossip.hosts.size;
   }
 
-  /** Tells other hosts soon how this one is. */
+  /** Announces this host's state to other hosts soon, ahead of the next gossip round. */
   announce(): void {
     this.gossip.announce();
   }
 
-  /** Tells other hosts soon which requests were under way on upstreams that crashed. */
-  tellCrashes(): void {
+  /** Announces soon to other hosts which requests were in progress on crashed upstreams. */
+  announceCrashes(): void {
     this.crashGossip.announce();
   }
 
-  /** Tells other hosts soon which engines were sent which parts of prompts. */
-  tellFacts(): void {
+  /** Announces soon to other hosts which engines were sent which prompt parts. */
+  announcePrefixUpdates(): void {
     if (this.gossip.isLargeFleet) {
       this.directory.tell(this.options.chooser.prefixes.takeAllFacts());
     } else this.gossip.announce();
   }
 
-  /** In a large fleet, finds out which engines keep a part that is not known of here; nothing where nobody is asked.
+  /** In a large fleet, looks up which engines have a prompt part cached that is unknown here. Returns undefined if no
+   * other host is asked.
    * @param part Short name of the part. */
-  learnPart(part: number): Promise<void> | undefined {
+  lookUpPart(part: number): Promise<void> | undefined {
     return this.gossip.isLargeFleet ? this.directory.learn(part) : undefined;
   }
 
-  /** Ends the link. */
+  /** Ends the communication and closes the socket. */
   async close(): Promise<void> {
     this.gossip.close();
-    this.questions.close();
+    this.ageQueries.close();
     this.directory.close();
     this.crashGossip.close();
     this.socket.close();
@@ -143,8 +146,8 @@
       hasFacts: () => prefixes.hasUntold,
       onFacts: (facts) => prefixes.learn(facts, readClock()),
       onEntry: (entry, heardAt, askedAt) =>
-        this.takeEntry(entry, heardAt, askedAt),
-      readHosts: (host, done) => void this.hostExchange.ask(host).then(done),
+        this.handleEntry(entry, heardAt, askedAt),
+      readHosts: (host, done) => void this.hostExchange.fetch(host).then(done),
     });
   }
 
@@ -162,8 +165,8 @@
     });
   }
 
-  private getWord(): PublicationWord {
-    const { ageMs, digest, revision } = this.options.keeper;
+  private getPublicationSummary(): PublicationWord {
+    const { ageMs, digest, revision } = this.options.published;
     const publicationAgeMs = Number.isFinite(ageMs) ? ageMs : -1;
     return { digest, revision, publicationAgeMs };
   }
@@ -179,38 +182,43 @@
       callerAddress,
       hall,
       phase: getPhase(),
-      ...this.getWord(),
+      ...this.getPublicationSummary(),
       loads: chooser.loads.getOwn(chooser.upstreams.getAll()),
     };
   }
 
-  private takeEntry(entry: PeerEntry, heardAt: number, askedAt?: number): void {
+  private handleEntry(
+    entry: PeerEntry,
+    heardAt: number,
+    askedAt?: number,
+  ): void {
     const { loads } = this.options.chooser;
-    recordToldLoads(loads, entry, heardAt, this.gossip.isLargeFleet);
-    if (askedAt !== undefined) this.takeWord(entry, entry, askedAt);
+    recordPeerLoads(loads, entry, heardAt, this.gossip.isLargeFleet);
+    if (askedAt !== undefined) this.reconcilePublication(entry, entry, askedAt);
   }
 
-  /** Takes what another host says of the publication: where it knows the same, what it knows is as new here as there,
-   * and where it knows more it is asked for that. */
-  private takeWord(
+  /** Compares another host's publication summary with the local state. Equal digests confirm that the local state is as
+   * recent as the host's; a fresher host is asked for its state. */
+  private reconcilePublication(
     host: PeerEntry,
-    word: PublicationWord,
+    summary: PublicationWord,
     askedAt: number,
   ): void {
-    const { keeper, publicationExchange } = this.options;
-    const { digest, revision, publicationAgeMs } = word;
+    const { published, publicationExchange } = this.options;
+    const { digest, revision, publicationAgeMs } = summary;
     if (publicationAgeMs < 0) return;
-    if (digest === keeper.digest) {
-      keeper.takeConfirmation(digest, askedAt - publicationAgeMs);
+    if (digest === published.digest) {
+      published.takeConfirmation(digest, askedAt - publicationAgeMs);
       return;
     }
-    const isFresher = publicationAgeMs < keeper.ageMs ||
-      revision > keeper.revision;
-    if (isFresher) void publicationExchange.ask(host.id, host.peerAddress);
+    const isFresher = publicationAgeMs < published.ageMs ||
+      revision > published.revision;
+    if (isFresher) void publicationExchange.fetch(host.id, host.peerAddress);
   }
 
-  /** Gossip addresses of hosts to ask; none in a small fleet, where each datagram tells what they would answer. */
-  private findAddresses(ids: readonly string[]): string[] {
+  /** Returns the gossip addresses of hosts to query; none in a small fleet, where every gossip datagram already carries
+   * the publication summary. */
+  private getGossipAddresses(ids: readonly string[]): string[] {
     if (!this.gossip.isLargeFleet) return [];
     const addresses = new Map(
       this.getLiveHosts().map(({ entry }) => [entry.id, entry.gossipAddress]),
@@ -218,7 +226,7 @@
     return ids.flatMap((id) => addresses.get(id) ?? []);
   }
 
-  private getStayingAddresses(): string[] {
+  private getNonDrainingAddresses(): string[] {
     return this.getLiveHosts().filter(({ entry }) => entry.phase !== "draining")
       .map(({ entry }) => entry.gossipAddress);
   }
