--- a/src/peers/failure_detector.ts
+++ b/src/peers/failure_detector.ts
@@ -6,7 +6,7 @@
 import type { HostTable } from "./host_table.ts";
 import type { KnownHost } from "./known_host.ts";
 import type { RumourReceiver } from "./rumour_receiver.ts";
-import type { RumourSpread } from "./rumour_spread.ts";
+import type { RumourSpread } from "./rumour_disseminator.ts";
 
 /** Time for the answer to a probe, in milliseconds; through other hosts it is twice as long. */
 const PROBE_TIMEOUT_MS = 180;
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -8,7 +8,7 @@
 import type { PrefixFact } from "../upstreams/prefix_index.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
 import { FailureDetector } from "./failure_detector.ts";
-import { FleetTargets } from "./fleet_targets.ts";
+import { FleetTargets } from "./gossip_targets.ts";
 import {
   GossipComposer,
   type GossipContent,
@@ -18,10 +18,10 @@
 import { HostPull, type ReadHosts } from "./host_pull.ts";
 import { HostTable, SUSPICION_MS } from "./host_table.ts";
 import type { HostState, KnownHost } from "./known_host.ts";
-import { LiveLog } from "./live_log.ts";
+import { LiveLog } from "./liveness_logger.ts";
 import { RumourReceiver } from "./rumour_receiver.ts";
-import { RumourSpread } from "./rumour_spread.ts";
-import { SelfDescription } from "./self_description.ts";
+import { RumourSpread } from "./rumour_disseminator.ts";
+import { SelfDescription } from "./local_host_state.ts";
 
 /** Interval at which a host tells of itself, in milliseconds; loads known to others are late by about as much. */
 const ROUND_MS = 200;
--- a/src/peers/gossip_composer.ts
+++ b/src/peers/gossip_composer.ts
@@ -1,13 +1,13 @@
 import type { Timeline } from "../clock/timeline.ts";
 import type { Random } from "../random/random.ts";
 import type { PrefixFact } from "../upstreams/prefix_index.ts";
-import { chooseTold } from "./choose_told.ts";
+import { chooseTold } from "./select_gossip_hosts.ts";
 import type { GossipMessage } from "./gossip_schema.ts";
-import type { HostReport } from "./host_report.ts";
+import type { HostReport } from "./load_report.ts";
 import type { HostTable } from "./host_table.ts";
 import type { KnownHost } from "./known_host.ts";
-import type { RumourSpread } from "./rumour_spread.ts";
-import type { SelfDescription } from "./self_description.ts";
+import type { RumourSpread } from "./rumour_disseminator.ts";
+import type { SelfDescription } from "./local_host_state.ts";
 
 /** Entries of other hosts in one datagram, so that it fits into one packet. */
 export const RELAYED_ENTRIES = 10;
--- a/src/peers/gossip_schema.ts
+++ b/src/peers/gossip_schema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 import { HOST_PHASES } from "./host_phase.ts";
-import { hostReportsSchema } from "./host_report.ts";
+import { hostReportsSchema } from "./load_report.ts";
 import { hostRumoursSchema } from "./host_rumour.ts";
 import { loadCountsSchema, prefixFactsSchema } from "./told_schemas.ts";
 
--- a/src/peers/fleet_targets.ts
+++ b/src/peers/gossip_targets.ts
@@ -1,7 +1,7 @@
 import type { Random } from "../random/random.ts";
 import type { HostTable } from "./host_table.ts";
 import type { KnownHost } from "./known_host.ts";
-import { VisitOrder } from "./visit_order.ts";
+import { VisitOrder } from "./random_round_robin.ts";
 
 /** Hosts of the own hall told each time in a large fleet; in a small one all hosts are told. */
 const OWN_HALL_FANOUT = 2;
--- a/src/peers/host_table.ts
+++ b/src/peers/host_table.ts
@@ -1,6 +1,6 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PeerEntry } from "./gossip_schema.ts";
-import type { HostReport } from "./host_report.ts";
+import type { HostReport } from "./load_report.ts";
 import { type HostRumour, type HostStatus, outweighs } from "./host_rumour.ts";
 import type { HostState, KnownHost } from "./known_host.ts";
 
--- a/src/peers/pack_gossip.ts
+++ b/src/peers/pack_gossip.ts
@@ -6,7 +6,7 @@
   peerEntrySchema,
 } from "./gossip_schema.ts";
 import { HOST_PHASES } from "./host_phase.ts";
-import { packHostReports } from "./host_report.ts";
+import { packHostReports } from "./load_report.ts";
 import { packHostRumours } from "./host_rumour.ts";
 
 /** Writes a message as the lists that `gossipSchema` reads.
--- a/src/peers/rumour_spread.ts
+++ b/src/peers/rumour_disseminator.ts
@@ -1,10 +1,10 @@
 import type { StopTimer, Timeline } from "../clock/timeline.ts";
 import { RumourQueue } from "../membership/rumour_queue.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
-import type { FleetTargets } from "./fleet_targets.ts";
+import type { FleetTargets } from "./gossip_targets.ts";
 import type { HostRumour } from "./host_rumour.ts";
 import type { HostTable } from "./host_table.ts";
-import type { SelfDescription } from "./self_description.ts";
+import type { SelfDescription } from "./local_host_state.ts";
 
 /** Rumours in one datagram. */
 const MAX_RUMOURS = 24;
--- a/src/peers/rumour_receiver.ts
+++ b/src/peers/rumour_receiver.ts
@@ -3,8 +3,8 @@
 import type { DatagramPort } from "./datagram_socket.ts";
 import type { HostRumour } from "./host_rumour.ts";
 import type { HostTable } from "./host_table.ts";
-import type { RumourSpread } from "./rumour_spread.ts";
-import type { SelfDescription } from "./self_description.ts";
+import type { RumourSpread } from "./rumour_disseminator.ts";
+import type { SelfDescription } from "./local_host_state.ts";
 
 /** Least time between two questions for the entries of unknown hosts, in milliseconds. */
 const QUESTION_INTERVAL_MS = 100;
