--- a/src/peers/age_questions.ts
+++ b/src/peers/age_questions.ts
@@ -6,60 +6,72 @@
 import type { DatagramPort } from "./datagram_socket.ts";
 import type { PublicationWord } from "./publication_word.ts";
 
-/** Time between two questions, in milliseconds; what is known looks older by at most as much, which the age at which other
- * hosts help to watch has room for. */
-const QUESTION_INTERVAL_MS = 600;
+/** Time between two requests, in milliseconds. The publication appears older by up to as much; the age at which further
+ * hosts start to watch the platform allows for that. */
+const POLL_INTERVAL_MS = 600;
 
-/** What the questions need. */
+/** Dependencies of the poller. */
 export interface AgeQuestionsOptions {
   socket: DatagramPort;
-  /** Gossip addresses of the hosts to ask, one in turn; none where this host need not ask. */
+  /** Gossip addresses of the hosts to poll, in turn; empty where this host does not need to poll. */
   getSources: () => readonly string[];
-  /** What this host knows of the publication. */
+  /** Returns the status of this host's copy of the publication. */
   getWord: () => PublicationWord;
-  /** Told what a host answered to a question that was sent at `askedAt`. */
-  onWord: (sender: string, word: PublicationWord, askedAt: number) => void;
-  /** The process's by default. */
+  /** Called with the status that a host sent in response to a request of time `requestedAt`. */
+  onWord: (
+    sender: string,
+    status: PublicationWord,
+    requestedAt: number,
+  ) => void;
+  /** Defaults to the timeline of the process. */
   timeline?: Timeline;
 }
 
-/** Asks hosts how old what they know of the publication is, and answers others. Ages are counted from the question, by the
- * asking host's own clock, so that no late datagram makes anything look newer than it is. */
+/** Polls other hosts for the status of their copy of the publication, and responds to their requests. Ages are counted
+ * from the time of the request by the requester's clock, so a delayed datagram never makes a copy look newer than it
+ * is. */
 export class AgeQuestions {
   private readonly timeline: Timeline;
-  private readonly stopAsking: StopTimer;
-  private asked = 0;
+  private readonly stopPolling: StopTimer;
+  private pollCount = 0;
 
   private constructor(private readonly options: AgeQuestionsOptions) {
     const { socket, getWord, timeline = processTimeline } = options;
     this.timeline = timeline;
-    socket.handle("age_question", ({ askedAt }, sender) => {
-      socket.send(sender, { type: "age_answer", askedAt, word: getWord() });
+    socket.handle("publication_status_request", ({ requestedAt }, sender) => {
+      socket.send(sender, {
+        type: "publication_status_response",
+        requestedAt,
+        status: getWord(),
+      });
     });
-    socket.handle("age_answer", (answer, sender) => {
-      if (answer.askedAt > timeline.read()) return;
-      options.onWord(sender, answer.word, answer.askedAt);
+    socket.handle("publication_status_response", (response, sender) => {
+      if (response.requestedAt > timeline.read()) return;
+      options.onWord(sender, response.status, response.requestedAt);
     });
-    this.stopAsking = timeline.every(QUESTION_INTERVAL_MS, () => this.ask());
+    this.stopPolling = timeline.every(POLL_INTERVAL_MS, () => this.poll());
   }
 
-  /** Starts asking and answering.
-   * @param options What it needs. */
+  /** Starts polling and responding.
+   * @param options Its dependencies. */
   static create(options: AgeQuestionsOptions): AgeQuestions {
     return new AgeQuestions(options);
   }
 
-  /** Stops asking. */
+  /** Stops polling. */
   close(): void {
-    this.stopAsking();
+    this.stopPolling();
   }
 
-  private ask(): void {
+  private poll(): void {
     const sources = this.options.getSources();
     if (sources.length === 0) return;
-    this.asked += 1;
-    const address = sources[this.asked % sources.length]!;
-    const askedAt = this.timeline.read();
-    this.options.socket.send(address, { type: "age_question", askedAt });
+    this.pollCount += 1;
+    const address = sources[this.pollCount % sources.length]!;
+    const requestedAt = this.timeline.read();
+    this.options.socket.send(address, {
+      type: "publication_status_request",
+      requestedAt,
+    });
   }
 }
--- a/src/peers/datagram.ts
+++ b/src/peers/datagram.ts
@@ -4,37 +4,41 @@
 import type { HostRumour } from "./host_rumour.ts";
 import type { PublicationWord } from "./publication_word.ts";
 
-/** What hosts send each other in one datagram. */
+/** Messages that hosts send each other, one per datagram. */
 export type Datagram =
   | { type: "gossip"; message: GossipMessage }
-  /** Answers the probe of a number; `target` is the host that was probed, by its gossip address. */
+  /** Acknowledges the probe with the nonce; `target` is the gossip address of the probed host. */
   | {
-    type: "probe_answer";
-    number: number;
+    type: "probe_ack";
+    nonce: number;
     target: string;
     rumours: readonly HostRumour[];
   }
-  /** Asks the receiver to probe a host and to answer with the number where the host does. */
-  | { type: "probe_request"; number: number; target: string }
-  /** Tells what the sender believes of hosts. */
+  /** Asks the receiver to probe a host and, if that host responds, to send an acknowledgement with the nonce. */
+  | { type: "indirect_probe_request"; nonce: number; target: string }
+  /** Carries the sender's membership state of hosts. */
   | { type: "host_rumours"; rumours: readonly HostRumour[] }
-  /** Asks for the entries of hosts, by their short names. */
-  | { type: "host_question"; names: readonly number[] }
-  /** Asks what the receiver knows of the publication; `askedAt` is the asking host's clock. */
-  | { type: "age_question"; askedAt: number }
-  /** Answers such a question, with its `askedAt`. */
-  | { type: "age_answer"; askedAt: number; word: PublicationWord }
-  /** Tells which engines were sent which parts of prompts. */
+  /** Requests the entries of hosts, named by the hashes of their gossip addresses. */
+  | { type: "host_entries_request"; names: readonly number[] }
+  /** Requests the status of the receiver's copy of the publication; `requestedAt` is the requester's clock. */
+  | { type: "publication_status_request"; requestedAt: number }
+  /** Responds to such a request and returns its `requestedAt`. */
+  | {
+    type: "publication_status_response";
+    requestedAt: number;
+    status: PublicationWord;
+  }
+  /** Reports which engines were sent which parts of prompts. */
   | { type: "prefix_facts"; facts: readonly PrefixFact[] }
-  /** Asks which engines keep a part of a prompt; the number tells answers apart. */
-  | { type: "prefix_question"; number: number; part: number }
-  /** Answers such a question, with its number. */
+  /** Asks which engines hold a part of a prompt; the id matches responses to requests. */
+  | { type: "prefix_lookup_request"; lookupId: number; part: number }
+  /** Responds to such a request and returns its id. */
   | {
-    type: "prefix_answer";
-    number: number;
+    type: "prefix_lookup_response";
+    lookupId: number;
     sightings: readonly PrefixSighting[];
   }
-  /** Tells which requests were under way on upstreams that crashed. */
+  /** Reports which requests were in flight on upstreams that crashed. */
   | { type: "crash_words"; words: readonly CrashWord[] };
 
 /** Type of a datagram. */
--- a/src/peers/datagram_codec.ts
+++ b/src/peers/datagram_codec.ts
@@ -7,134 +7,137 @@
 import { hostRumoursSchema, packHostRumours } from "./host_rumour.ts";
 import { prefixFactsSchema, prefixSightingsSchema } from "./told_schemas.ts";
 
-/** How the body of one type is written and read. */
+/** Encodes and decodes the body of one datagram type. */
 interface BodyCodec<Type extends DatagramType> {
-  /** Number of the type on the wire. */
-  number: number;
+  /** Code of the type on the wire. */
+  typeCode: number;
   pack: (datagram: DatagramOf<Type>) => unknown[];
-  /** Reads a body. */
+  /** Validates and decodes a body. */
   schema: z.ZodType<DatagramOf<Type>>;
 }
 
-/** A datagram: the number of its type, and its body. */
+/** A packed datagram: the code of its type, followed by its body. */
 const packedSchema = z.tuple([z.number()]).rest(z.unknown());
 
-/** How each type is written and read. */
+/** Codecs by datagram type. */
 const CODECS: { readonly [Type in DatagramType]: BodyCodec<Type> } = {
   gossip: {
-    number: 0,
+    typeCode: 0,
     pack: ({ message }) => [packGossip(message)],
     schema: z.tuple([gossipSchema]).rest(z.unknown())
       .transform(([message]) => ({ type: "gossip", message })),
   },
-  age_question: {
-    number: 1,
-    pack: ({ askedAt }) => [askedAt],
+  publication_status_request: {
+    typeCode: 1,
+    pack: ({ requestedAt }) => [requestedAt],
     schema: z.tuple([z.number()])
-      .transform(([askedAt]) => ({ type: "age_question", askedAt })),
+      .transform(([requestedAt]) => ({
+        type: "publication_status_request",
+        requestedAt,
+      })),
   },
-  age_answer: {
-    number: 2,
-    pack: ({ askedAt, word }) => [
-      askedAt,
-      word.digest,
-      word.revision,
-      Math.round(word.publicationAgeMs),
+  publication_status_response: {
+    typeCode: 2,
+    pack: ({ requestedAt, status }) => [
+      requestedAt,
+      status.digest,
+      status.revision,
+      Math.round(status.publicationAgeMs),
     ],
     schema: z.tuple([z.number(), z.number(), z.number(), z.number()])
-      .transform(([askedAt, digest, revision, publicationAgeMs]) => {
-        const word = { digest, revision, publicationAgeMs };
-        return { type: "age_answer", askedAt, word };
+      .transform(([requestedAt, digest, revision, publicationAgeMs]) => {
+        const status = { digest, revision, publicationAgeMs };
+        return { type: "publication_status_response", requestedAt, status };
       }),
   },
   prefix_facts: {
-    number: 3,
+    typeCode: 3,
     pack: ({ facts }) => [facts],
     schema: z.tuple([prefixFactsSchema])
       .transform(([facts]) => ({ type: "prefix_facts", facts })),
   },
-  prefix_question: {
-    number: 4,
-    pack: ({ number, part }) => [number, part],
+  prefix_lookup_request: {
+    typeCode: 4,
+    pack: ({ lookupId, part }) => [lookupId, part],
     schema: z.tuple([z.number(), z.number()])
-      .transform(([number, part]) => ({
-        type: "prefix_question",
-        number,
+      .transform(([lookupId, part]) => ({
+        type: "prefix_lookup_request",
+        lookupId,
         part,
       })),
   },
-  prefix_answer: {
-    number: 5,
-    pack: ({ number, sightings }) => [number, sightings],
+  prefix_lookup_response: {
+    typeCode: 5,
+    pack: ({ lookupId, sightings }) => [lookupId, sightings],
     schema: z.tuple([z.number(), prefixSightingsSchema])
-      .transform(([number, sightings]) => ({
-        type: "prefix_answer",
-        number,
+      .transform(([lookupId, sightings]) => ({
+        type: "prefix_lookup_response",
+        lookupId,
         sightings,
       })),
   },
   crash_words: {
-    number: 6,
+    typeCode: 6,
     pack: ({ words }) => [words.map(packCrashWord)],
     schema: z.tuple([z.array(crashWordListSchema)])
       .transform(([words]) => ({ type: "crash_words", words })),
   },
-  probe_answer: {
-    number: 7,
-    pack: ({ number, target, rumours }) => [
-      number,
+  probe_ack: {
+    typeCode: 7,
+    pack: ({ nonce, target, rumours }) => [
+      nonce,
       target,
       packHostRumours(rumours),
     ],
     schema: z.tuple([z.number(), z.string(), hostRumoursSchema])
-      .transform(([number, target, rumours]) => (
-        { type: "probe_answer", number, target, rumours }
+      .transform(([nonce, target, rumours]) => (
+        { type: "probe_ack", nonce, target, rumours }
       )),
   },
-  probe_request: {
-    number: 8,
-    pack: ({ number, target }) => [number, target],
+  indirect_probe_request: {
+    typeCode: 8,
+    pack: ({ nonce, target }) => [nonce, target],
     schema: z.tuple([z.number(), z.string()])
-      .transform(([number, target]) => (
-        { type: "probe_request", number, target }
+      .transform(([nonce, target]) => (
+        { type: "indirect_probe_request", nonce, target }
       )),
   },
   host_rumours: {
-    number: 9,
+    typeCode: 9,
     pack: ({ rumours }) => [packHostRumours(rumours)],
     schema: z.tuple([hostRumoursSchema])
       .transform(([rumours]) => ({ type: "host_rumours", rumours })),
   },
-  host_question: {
-    number: 10,
+  host_entries_request: {
+    typeCode: 10,
     pack: ({ names }) => [names],
     schema: z.tuple([z.array(z.number())])
-      .transform(([names]) => ({ type: "host_question", names })),
+      .transform(([names]) => ({ type: "host_entries_request", names })),
   },
 };
 
-/** By the number of a type on the wire, how its body is read. */
-const SCHEMA_BY_NUMBER = new Map<number, z.ZodType<Datagram>>(
-  Object.values(CODECS).map(({ number, schema }) => [number, schema]),
+/** Body schemas by the code of the type on the wire. */
+const SCHEMA_BY_TYPE_CODE = new Map<number, z.ZodType<Datagram>>(
+  Object.values(CODECS).map(({ typeCode, schema }) => [typeCode, schema]),
 );
 
-/** Writes a datagram.
- * @param datagram What it holds. */
+/** Encodes a datagram.
+ * @param datagram The datagram. */
 export function encodeDatagram(datagram: Datagram): Buffer {
   const codec = CODECS[datagram.type] as BodyCodec<DatagramType>;
-  return pack([codec.number, ...codec.pack(datagram)]);
+  return pack([codec.typeCode, ...codec.pack(datagram)]);
 }
 
-/** Reads a datagram; one that is malformed is undefined.
- * @param bytes The datagram. */
+/** Decodes a datagram; returns undefined if it is malformed.
+ * @param bytes The encoded datagram. */
 export function decodeDatagram(bytes: Buffer): Datagram | undefined {
   const packed = packedSchema.safeParse(tryUnpack(bytes));
   if (!packed.success) return undefined;
-  const [number, ...body] = packed.data;
-  return SCHEMA_BY_NUMBER.get(number)?.safeParse(body).data;
+  const [typeCode, ...body] = packed.data;
+  return SCHEMA_BY_TYPE_CODE.get(typeCode)?.safeParse(body).data;
 }
 
-/** Unpacks bytes; what can't be unpacked is undefined, which the schema then refuses. */
+/** Unpacks msgpack; returns undefined for invalid bytes, which the schema then rejects. */
 function tryUnpack(bytes: Buffer): unknown {
   try {
     return unpack(bytes);
--- a/src/peers/datagram_socket.ts
+++ b/src/peers/datagram_socket.ts
@@ -5,21 +5,21 @@
 import type { Datagram, DatagramOf, DatagramType } from "./datagram.ts";
 import { decodeDatagram, encodeDatagram } from "./datagram_codec.ts";
 
-/** Whether a datagram left this host or came in. */
+/** Whether this host sent or received a datagram. */
 export type DatagramDirection = "sent" | "received";
 
-/** Told of each datagram with its length in bytes. */
+/** Called for each datagram with its length in bytes. */
 export type OnDatagram = (direction: DatagramDirection, bytes: number) => void;
 
-/** Takes the datagrams of one type.
- * @param datagram What came.
- * @param sender Who sent it, as ip:port. */
+/** Handles the datagrams of one type.
+ * @param datagram The received datagram.
+ * @param sender Address of the sender, as ip:port. */
 export type DatagramHandler<Type extends DatagramType> = (
   datagram: DatagramOf<Type>,
   sender: string,
 ) => void;
 
-/** Sends datagrams to other hosts and hands on those that come in. */
+/** Sends datagrams to other hosts and dispatches received ones to handlers. */
 export interface DatagramPort {
   handle<Type extends DatagramType>(
     type: Type,
@@ -28,7 +28,7 @@
   send(address: string, datagram: Datagram): void;
 }
 
-/** The socket over which hosts send each other datagrams. */
+/** UDP socket for datagrams between hosts. */
 export class DatagramSocket implements DatagramPort {
   private readonly handlers: {
     [Type in DatagramType]?: DatagramHandler<Type>;
@@ -42,16 +42,16 @@
   ) {}
 
   /** Opens the socket.
-   * @param address Where to listen, as ip:port.
-   * @param logger Where bad datagrams are written.
-   * @param onDatagram Told of each datagram.
-   * @throws The system's error where the address can't be listened on. */
+   * @param address Address to bind, as ip:port.
+   * @param logger Logs malformed datagrams and socket errors.
+   * @param onDatagram Called for each datagram.
+   * @throws The system error if the address can't be bound. */
   static async create(
     address: string,
     logger: Logger,
     onDatagram: OnDatagram = () => undefined,
   ): Promise<DatagramSocket> {
-    const socket = createSocket({ type: "udp4", lookup: takeAddress });
+    const socket = createSocket({ type: "udp4", lookup: lookUpNumericAddress });
     const { host, port } = splitAddress(address);
     const listening = once(socket, "listening");
     socket.bind(port, host);
@@ -59,18 +59,19 @@
     const opened = new DatagramSocket(socket, logger, onDatagram);
     socket.on(
       "message",
-      (bytes, from) => opened.take(bytes, `${from.address}:${from.port}`),
+      (bytes, from) => opened.receive(bytes, `${from.address}:${from.port}`),
     );
     socket.on(
       "error",
-      (error) => logger.warn({ reason: error.message }, "datagrams_failed"),
+      (error) =>
+        logger.warn({ reason: error.message }, "datagram_socket_failed"),
     );
     return opened;
   }
 
-  /** Sets who takes the datagrams of a type; those of a type without a taker are left out.
-   * @param type The type.
-   * @param handler Takes them. */
+  /** Sets the handler for a datagram type; datagrams without a handler are dropped.
+   * @param type The datagram type.
+   * @param handler The handler. */
   handle<Type extends DatagramType>(
     type: Type,
     handler: DatagramHandler<Type>,
@@ -78,9 +79,9 @@
     Object.assign(this.handlers, { [type]: handler });
   }
 
-  /** Sends a datagram, which may be lost.
-   * @param address Receiver, as ip:port.
-   * @param datagram What it holds. */
+  /** Sends a datagram without delivery guarantee.
+   * @param address Address of the receiver, as ip:port.
+   * @param datagram The datagram. */
   send(address: string, datagram: Datagram): void {
     if (this.isClosed) return;
     const { host, port } = splitAddress(address);
@@ -88,7 +89,10 @@
     this.onDatagram("sent", bytes.length);
     this.socket.send(bytes, port, host, (error) => {
       if (!error) return;
-      this.logger.debug({ address, reason: error.message }, "datagram_unsent");
+      this.logger.debug(
+        { address, reason: error.message },
+        "datagram_send_failed",
+      );
     });
   }
 
@@ -99,7 +103,7 @@
     this.socket.close();
   }
 
-  private take(bytes: Buffer, sender: string): void {
+  private receive(bytes: Buffer, sender: string): void {
     this.onDatagram("received", bytes.length);
     const datagram = decodeDatagram(bytes);
     if (!datagram) {
@@ -113,11 +117,11 @@
   }
 }
 
-/** Stands for a look-up of names, for all addresses are IP numbers. */
-function takeAddress(
+/** Replaces the DNS lookup, since all addresses are numeric. */
+function lookUpNumericAddress(
   address: string,
   _options: unknown,
-  done: (error: null, address: string, family: number) => void,
+  callback: (error: null, address: string, family: number) => void,
 ): void {
-  done(null, address, 4);
+  callback(null, address, 4);
 }
--- a/src/peers/failure_detector.ts
+++ b/src/peers/failure_detector.ts
@@ -6,55 +6,56 @@
 import type { HostTable } from "./host_table.ts";
 import type { KnownHost } from "./known_host.ts";
 import type { RumourReceiver } from "./rumour_receiver.ts";
-import type { RumourSpread } from "./rumour_disseminator.ts";
+import type { RumourDisseminator } from "./rumour_disseminator.ts";
 
-/** Time for the answer to a probe, in milliseconds; through other hosts it is twice as long. */
+/** Timeout of a direct probe, in milliseconds; the timeout of indirect probes is twice as long. */
 const PROBE_TIMEOUT_MS = 180;
-/** Hosts that are asked to probe one that did not answer. */
-const RELAYS = 3;
-/** Silent hosts of the same hall that are probed with one that did not answer, for many may have failed at once. */
-const NEIGHBOURS_PROBED = 2;
-/** Time for which a sign of life makes such a probe unnecessary, in milliseconds. */
-const HEARD_LATELY_MS = 600;
+/** Hosts that are asked to probe a host that did not acknowledge a direct probe. */
+const INDIRECT_PROBES = 3;
+/** Hosts without recent contact in the hall of an unresponsive host that are probed along with it, since many may have
+ * failed at once. */
+const NEIGHBOUR_PROBES = 2;
+/** Time after a contact with a host during which it is not probed as a neighbour, in milliseconds. */
+const RECENT_CONTACT_MS = 600;
 
-/** What a failure detector needs. */
+/** Dependencies of a failure detector. */
 export interface FailureDetectorOptions {
   logger: Logger;
   socket: DatagramPort;
   hosts: HostTable;
   timeline: Timeline;
   random: Random;
-  /** Writes to a host, which answers with the number of the probe. */
-  sendProbe: (address: string, number: number) => void;
-  spread: RumourSpread;
+  /** Sends a host a probe, which it acknowledges with the nonce. */
+  sendProbe: (address: string, nonce: number) => void;
+  disseminator: RumourDisseminator;
   receiver: RumourReceiver;
 }
 
-/** Finds hosts of a large fleet that have failed, as SWIM does: a host that answers neither a probe nor those of others is
- * suspected, and has failed unless it refutes that in time. */
+/** Detects failed hosts of a large fleet with the SWIM protocol: a host that acknowledges neither a direct probe nor
+ * the indirect probes of other hosts is suspected, and is declared failed unless it refutes the suspicion in time. */
 export class FailureDetector {
-  private readonly rounds: ProbeRound;
+  private readonly probes: ProbeRound;
 
   private constructor(private readonly options: FailureDetectorOptions) {
     const { socket, timeline, sendProbe } = options;
-    this.rounds = ProbeRound.create(PROBE_TIMEOUT_MS, {
+    this.probes = ProbeRound.create(PROBE_TIMEOUT_MS, {
       sendPing: sendProbe,
-      sendRelays: (target, number) => this.takeSilence(target, number),
+      sendRelays: (target, nonce) => this.handleTimeout(target, nonce),
       onSilent: (target) => this.suspect(target),
     }, timeline);
-    socket.handle("probe_answer", ({ number, target, rumours }, sender) => {
-      options.hosts.noteHeard(sender, timeline.read());
-      options.receiver.take(rumours, sender);
-      this.takeAnswer(target, number);
+    socket.handle("probe_ack", ({ nonce, target, rumours }, sender) => {
+      options.hosts.recordContact(sender, timeline.read());
+      options.receiver.apply(rumours, sender);
+      this.handleAcknowledgement(target, nonce);
     });
-    socket.handle("probe_request", ({ number, target }, sender) => {
+    socket.handle("indirect_probe_request", ({ nonce, target }, sender) => {
       if (!options.hosts.getHost(target)) return;
-      this.rounds.probe(target, () => this.answer(sender, number, target));
+      this.probes.probe(target, () => this.acknowledge(sender, nonce, target));
     });
   }
 
   /** Creates a detector.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: FailureDetectorOptions): FailureDetector {
     return new FailureDetector(options);
   }
@@ -62,77 +63,82 @@
   /** Probes a host.
    * @param address Its gossip address. */
   probe(address: string): void {
-    this.rounds.probe(address);
+    this.probes.probe(address);
   }
 
-  /** Answers a probe of this host, or of one that was probed for the sender.
-   * @param sender Gossip address of the host that probes.
-   * @param number Number of its probe.
-   * @param target Gossip address of the host that it probes. */
-  answer(sender: string, number: number, target: string): void {
+  /** Acknowledges a probe of this host, or of a host that was probed on behalf of the sender.
+   * @param sender Gossip address of the probing host.
+   * @param nonce Nonce of its probe.
+   * @param target Gossip address of the probed host. */
+  acknowledge(sender: string, nonce: number, target: string): void {
     this.options.socket.send(sender, {
-      type: "probe_answer",
-      number,
+      type: "probe_ack",
+      nonce,
       target,
-      rumours: this.options.spread.take(),
+      rumours: this.options.disseminator.takeBatch(),
     });
   }
 
-  /** Forgets the probes under way, whose answers may have waited while this process did not run. */
-  forgetProbes(): void {
-    this.rounds.close();
+  /** Cancels all pending probes; used after a pause of this process, during which their acknowledgements may have been
+   * queued. */
+  cancelProbes(): void {
+    this.probes.close();
   }
 
-  /** Ends all probes. */
+  /** Cancels all pending probes. */
   close(): void {
-    this.rounds.close();
+    this.probes.close();
   }
 
-  private takeAnswer(target: string, number: number): void {
-    this.rounds.acknowledge(target, number);
-    this.options.hosts.noteHeard(target, this.options.timeline.read());
+  private handleAcknowledgement(target: string, nonce: number): void {
+    this.probes.acknowledge(target, nonce);
+    this.options.hosts.recordContact(target, this.options.timeline.read());
   }
 
-  /** Has others probe a host that did not answer, and probes its neighbours. */
-  private takeSilence(target: string, number: number): void {
-    this.sendRelays(target, number);
+  /** Requests indirect probes of a host whose direct probe timed out, and probes its neighbours. */
+  private handleTimeout(target: string, nonce: number): void {
+    this.requestIndirectProbes(target, nonce);
     const host = this.options.hosts.getHost(target);
     const neighbours = host ? this.findNeighbours(host) : [];
     for (const { entry } of neighbours) this.probe(entry.gossipAddress);
   }
 
-  private sendRelays(target: string, number: number): void {
+  private requestIndirectProbes(target: string, nonce: number): void {
     const { hosts, random, socket, timeline } = this.options;
     const helpers = hosts.getLive(timeline.read()).filter((host) =>
       host.status === "alive" && host.entry.gossipAddress !== target
     );
-    const count = Math.min(RELAYS, helpers.length);
+    const count = Math.min(INDIRECT_PROBES, helpers.length);
     for (let index = 0; index < count; index++) {
       const { gossipAddress } = random.pick(helpers).entry;
-      socket.send(gossipAddress, { type: "probe_request", number, target });
+      socket.send(gossipAddress, {
+        type: "indirect_probe_request",
+        nonce,
+        target,
+      });
     }
   }
 
   private suspect(target: string): void {
-    const { hosts, logger, spread, timeline } = this.options;
+    const { hosts, logger, disseminator, timeline } = this.options;
     const now = timeline.read();
     const host = hosts.getHost(target);
     if (host?.status !== "alive") return;
     hosts.suspect(host, now);
     const { id, incarnation, hall } = host.entry;
-    const silentMs = Math.round(now - host.heardAt);
+    const silentMs = Math.round(now - host.lastSeenAt);
     logger.info({ peer: id, incarnation, hall, silentMs }, "host_suspected");
-    spread.send(target, [hosts.describe(host, now)]);
+    disseminator.send(target, [hosts.buildRumour(host, now)]);
   }
 
   private findNeighbours(host: KnownHost): KnownHost[] {
     const { hosts, random, timeline } = this.options;
     const now = timeline.read();
-    const silent = hosts.getLive(now).filter(({ entry, status, heardAt }) =>
+    const silent = hosts.getLive(now).filter(({ entry, status, lastSeenAt }) =>
       entry.hall === host.entry.hall && status === "alive" &&
-      now - heardAt > HEARD_LATELY_MS &&
-      !this.rounds.isProbing(entry.gossipAddress)
+      now - lastSeenAt > RECENT_CONTACT_MS &&
+      !this.probes.isProbing(entry.gossipAddress)
     );
-    return random.shuffle(silent).slice(0, NEIGHBOURS_PROBED);
+    return random.shuffle(silent).slice(0, NEIGHBOUR_PROBES);
   }
 }
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -8,102 +8,113 @@
 import type { PrefixFact } from "../upstreams/prefix_index.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
 import { FailureDetector } from "./failure_detector.ts";
-import { FleetTargets } from "./gossip_targets.ts";
+import { GossipTargets } from "./gossip_targets.ts";
 import {
   GossipComposer,
   type GossipContent,
-  RELAYED_ENTRIES,
+  MAX_RELAYED_ENTRIES,
 } from "./gossip_composer.ts";
 import type { GossipMessage, PeerEntry } from "./gossip_schema.ts";
-import { HostPull, type ReadHosts } from "./host_pull.ts";
+import { HostTablePull, type ReadHosts } from "./host_pull.ts";
 import { HostTable, SUSPICION_MS } from "./host_table.ts";
 import type { HostState, KnownHost } from "./known_host.ts";
-import { LiveLog } from "./liveness_logger.ts";
+import { LivenessLogger } from "./liveness_logger.ts";
 import { RumourReceiver } from "./rumour_receiver.ts";
-import { RumourSpread } from "./rumour_disseminator.ts";
-import { SelfDescription } from "./local_host_state.ts";
+import { RumourDisseminator } from "./rumour_disseminator.ts";
+import { LocalHostState } from "./local_host_state.ts";
 
-/** Interval at which a host tells of itself, in milliseconds; loads known to others are late by about as much. */
-const ROUND_MS = 200;
-/** Time in which news is gathered before it is told ahead of the next round, in milliseconds. */
+/** Interval between gossip rounds, in milliseconds; the loads known to other hosts lag by about as much. */
+const ROUND_INTERVAL_MS = 200;
+/** Delay of an announcement ahead of the next round, in milliseconds; changes within it are batched. */
 const ANNOUNCE_DELAY_MS = 15;
-/** Rounds between two in which a host of a large fleet tells others, 0.6 seconds; in a small one it does in each. Telling
- * and being told is most of what an idle host of a large fleet spends. */
-const ROUNDS_PER_TELLING = 3;
-/** Rounds between two in which other hosts are told, where all hosts hear each other directly. */
+/** Interval at which a host of a large fleet sends gossip, in rounds: 0.6 seconds; in a small fleet it sends in each
+ * round. Sending and receiving gossip is most of what an idle host of a large fleet spends. */
+const ROUNDS_PER_PROBE = 3;
+/** Interval at which the entries of other hosts are relayed in a small fleet, in rounds; its hosts also contact each
+ * other directly. */
 const ROUNDS_PER_RELAY = 10;
-/** Time between two rounds from which this process did not run meanwhile, in milliseconds. */
+/** Time between two rounds above which the process is taken to have been paused, in milliseconds. */
 const PAUSED_AFTER_MS = 1_000;
 
-/** What gossip needs and whom it tells. */
+/** Dependencies and callbacks of gossip. */
 export interface GossipOptions {
   logger: Logger;
   socket: DatagramPort;
   /** Gossip address of this host, as ip:port. */
   address: string;
-  /** Hall of this host; in a large fleet its hosts are told most. */
+  /** Hall of this host; in a large fleet most messages go to hosts of this hall. */
   hall: string;
-  /** Gossip addresses of hosts to begin with; read anew each time. */
+  /** Returns the gossip addresses of the seed hosts; called for each attempt to reach them. */
   getSeeds: () => readonly string[];
-  /** What this host tells of itself, but for the fields that gossip itself fills in. */
+  /** Returns this host's entry without the fields that gossip itself sets. */
   describeSelf: () => Omit<PeerEntry, "incarnation" | "sequence">;
-  /** Facts about prompts to tell in a round of a small fleet; each is given once. */
+  /** Returns the prefix facts to send in a round of a small fleet; each fact is returned once. */
   takeFacts: () => PrefixFact[];
-  /** Whether facts are left to tell. */
+  /** Whether unsent prefix facts remain. */
   hasFacts: () => boolean;
-  /** Told of another host's facts about prompts. */
+  /** Called with the prefix facts of another host. */
   onFacts: (facts: readonly PrefixFact[]) => void;
-  /** Told of each host's word; `askedAt` is this host's clock after which the host composed it, where that is known. */
-  onEntry: (entry: PeerEntry, heardAt: number, askedAt?: number) => void;
-  /** Reads all hosts that another knows. */
+  /** Called with each new entry of a host and the time at which the host sent it, as far as is known. If given,
+   * `requestedAt` is a time of this host's clock before which the entry was not composed. */
+  onEntry: (
+    entry: PeerEntry,
+    lastSeenAt: number,
+    requestedAt?: number,
+  ) => void;
+  /** Reads the host table of another host. */
   readHosts: ReadHosts;
-  /** Greater than that of any earlier start of this host, as far as its clock can tell; the time of day by default. */
+  /** Must exceed the incarnations of earlier starts of this host; defaults to the time of day, which ensures that as
+   * far as the clock is right. */
   firstIncarnation?: number;
-  /** The process's by default. */
+  /** Defaults to the timeline of the process. */
   timeline?: Timeline;
-  /** Unseeded by default. */
+  /** Defaults to an unseeded source. */
   random?: Random;
 }
 
-/** The task by which hosts find each other and tell each other how they are. */
+/** Gossip protocol by which hosts discover each other and exchange their state. In a small fleet each host sends its
+ * entry to all others in every round; in a large one hosts probe a few others and disseminate rumours. */
 export class Gossip {
   /** The other hosts. */
   readonly hosts: HostTable;
   private readonly timeline: Timeline;
   private readonly random: Random;
-  private readonly self: SelfDescription;
-  private readonly targets: FleetTargets;
+  private readonly self: LocalHostState;
+  private readonly targets: GossipTargets;
   private readonly detector: FailureDetector;
-  private readonly pull: HostPull;
-  private readonly rumours: RumourSpread;
+  private readonly pull: HostTablePull;
+  private readonly rumours: RumourDisseminator;
   private readonly receiver: RumourReceiver;
   private readonly composer: GossipComposer;
-  private readonly log: LiveLog;
+  private readonly livenessLogger: LivenessLogger;
   private readonly stopRounds: StopTimer;
   private stopAnnouncement: StopTimer | undefined;
   private round = 0;
-  private ranAt: number;
+  private lastRoundAt: number;
 
   private constructor(private readonly options: GossipOptions) {
     const { address, hall, socket, getSeeds } = options;
     this.timeline = options.timeline ?? processTimeline;
     this.random = options.random ?? Random.create();
-    this.ranAt = this.timeline.read();
-    this.self = SelfDescription.create(
+    this.lastRoundAt = this.timeline.read();
+    this.self = LocalHostState.create(
       address,
       options.firstIncarnation ?? Date.now(),
       options.describeSelf,
     );
-    this.hosts = HostTable.create(address, (host) => this.takeBelief(host));
+    this.hosts = HostTable.create(
+      address,
+      (host) => this.handleMembershipChange(host),
+    );
     const { hosts, random } = this;
-    this.targets = FleetTargets.create({
+    this.targets = GossipTargets.create({
       hosts,
       random,
       address,
       hall,
       getSeeds,
     });
-    this.rumours = RumourSpread.create({
+    this.rumours = RumourDisseminator.create({
       socket,
       hosts,
       targets: this.targets,
@@ -115,7 +126,7 @@
       socket,
       hosts,
       self: this.self,
-      spread: this.rumours,
+      disseminator: this.rumours,
       timeline: this.timeline,
     });
     this.composer = GossipComposer.create({
@@ -125,36 +136,41 @@
       timeline: this.timeline,
       random,
     });
-    this.log = LiveLog.create(hosts, options.logger);
+    this.livenessLogger = LivenessLogger.create(hosts, options.logger);
     this.detector = this.createDetector();
-    this.pull = HostPull.create(options.readHosts, (states) => {
+    this.pull = HostTablePull.create(options.readHosts, (states) => {
       const now = this.timeline.read();
-      for (const { entry, heardAt } of this.hosts.mergeStates(states, now)) {
-        options.onEntry(entry, heardAt);
+      for (
+        const { entry, lastSeenAt } of this.hosts.mergeStates(states, now)
+      ) {
+        options.onEntry(entry, lastSeenAt);
       }
     });
-    socket.handle("gossip", ({ message }) => this.receive(message));
+    socket.handle("gossip", ({ message }) => this.handleMessage(message));
     socket.handle(
-      "host_question",
-      ({ names }, sender) => this.tellEntries(sender, names),
+      "host_entries_request",
+      ({ names }, sender) => this.sendEntries(sender, names),
+    );
+    this.stopRounds = this.timeline.every(
+      ROUND_INTERVAL_MS,
+      () => this.runRound(),
     );
-    this.stopRounds = this.timeline.every(ROUND_MS, () => this.runRound());
   }
 
   /** Starts the rounds.
-   * @param options What gossip needs. */
+   * @param options Its dependencies. */
   static create(options: GossipOptions): Gossip {
     const gossip = new Gossip(options);
     gossip.runRound();
     return gossip;
   }
 
-  /** Whether there are too many hosts for each to tell all others in every round. */
+  /** Whether there are too many hosts for all-to-all gossip in every round. */
   get isLargeFleet(): boolean {
     return this.hosts.isLarge;
   }
 
-  /** All known hosts, this one included, for another that lacks some. */
+  /** Returns the state of all known hosts and this one, for a host that lacks some. */
   getHostStates(): HostState[] {
     const own = {
       entry: this.self.getEntry(),
@@ -164,11 +180,11 @@
     return [own, ...this.hosts.getStates(this.timeline.read())];
   }
 
-  /** Tells hosts soon, rather than with the next round; what comes up meanwhile is told along. */
+  /** Sends gossip ahead of the next round; changes until then are included. */
   announce(): void {
     this.stopAnnouncement ??= this.timeline.after(ANNOUNCE_DELAY_MS, () => {
       this.stopAnnouncement = undefined;
-      this.tellChosen();
+      this.gossipToTargets();
     });
   }
 
@@ -188,18 +204,19 @@
       hosts,
       timeline,
       random,
-      sendProbe: (address, number) => this.tell(address, { probe: number }),
-      spread: this.rumours,
+      sendProbe: (address, nonce) =>
+        this.sendMessage(address, { probeNonce: nonce }),
+      disseminator: this.rumours,
       receiver: this.receiver,
     });
   }
 
-  /** Queues a changed belief for dissemination and schedules the expiry of a suspicion. Failures wait for the next round, since
-   * every host that knows of the suspicion expires it at the same time. */
-  private takeBelief(host: KnownHost): void {
+  /** Queues a membership change for dissemination and schedules the expiry of a suspicion. Failures wait for the next
+   * round, since every host that knows of the suspicion expires it at the same time. */
+  private handleMembershipChange(host: KnownHost): void {
     const { name, status, statusSince } = host;
     this.rumours.add(name);
-    if (status !== "failed") this.rumours.hurry();
+    if (status !== "failed") this.rumours.sendSoon();
     if (status !== "suspect") return;
     const leftMs = statusSince + SUSPICION_MS - this.timeline.read();
     this.timeline.after(
@@ -210,111 +227,120 @@
 
   private runRound(): void {
     const now = this.timeline.read();
-    if (now - this.ranAt > PAUSED_AFTER_MS) this.detector.forgetProbes();
-    this.ranAt = now;
+    if (now - this.lastRoundAt > PAUSED_AFTER_MS) this.detector.cancelProbes();
+    this.lastRoundAt = now;
     this.round += 1;
     this.self.startRound();
     const { isLarge } = this.hosts;
-    if (isLarge && this.round % ROUNDS_PER_TELLING !== 0) return;
-    this.hosts.forget(now);
-    this.log.update(now);
-    this.tellChosen();
+    if (isLarge && this.round % ROUNDS_PER_PROBE !== 0) return;
+    this.hosts.removeExpired(now);
+    this.livenessLogger.logChanges(now);
+    this.gossipToTargets();
   }
 
-  private tellChosen(): void {
+  private gossipToTargets(): void {
     const now = this.timeline.read();
     const { isLarge } = this.hosts;
     if (this.self.updatePhase()) this.rumours.add(this.self.name);
     const facts = isLarge ? [] : this.options.takeFacts();
     const isRelaying = this.round <= ROUNDS_PER_RELAY ||
       this.round % ROUNDS_PER_RELAY === 0;
-    const { live, attempted } = this.targets.choose(this.round, now);
+    const { live, reconnects } = this.targets.choose(this.round, now);
     for (const address of live) {
       if (isLarge) this.detector.probe(address);
       else {
-        const others = isRelaying ? this.composer.chooseRelayed(address) : [];
-        this.tell(address, { facts, others });
+        const relayedHosts = isRelaying
+          ? this.composer.selectRelayedHosts(address)
+          : [];
+        this.sendMessage(address, { facts, relayedHosts });
       }
     }
-    for (const address of attempted) this.tell(address, { facts });
+    for (const address of reconnects) this.sendMessage(address, { facts });
     if (!isLarge && this.options.hasFacts()) this.announce();
   }
 
-  /** Tells a host what others tell of themselves.
-   * @param address The host.
-   * @param names Short names of the others. */
-  private tellEntries(address: string, names: readonly number[]): void {
-    const others = names.slice(0, RELAYED_ENTRIES).flatMap((name) =>
+  /** Sends a host the entries of other hosts.
+   * @param address Gossip address of the receiver.
+   * @param names Hashes of the other hosts' gossip addresses. */
+  private sendEntries(address: string, names: readonly number[]): void {
+    const relayedHosts = names.slice(0, MAX_RELAYED_ENTRIES).flatMap((name) =>
       this.hosts.findByName(name) ?? []
     );
-    this.tell(address, { others });
+    this.sendMessage(address, { relayedHosts });
   }
 
-  private tell(address: string, content: GossipContent): void {
+  private sendMessage(address: string, content: GossipContent): void {
     const message = this.composer.compose(address, content);
     this.options.socket.send(address, { type: "gossip", message });
   }
 
-  private receive(message: GossipMessage): void {
+  private handleMessage(message: GossipMessage): void {
     const now = this.timeline.read();
     const { sender, sentAt, echo, facts } = message;
     const address = sender.gossipAddress;
     if (facts.length > 0) this.options.onFacts(facts);
-    const before = this.hosts.getHost(address)?.entry.incarnation;
+    const knownIncarnation = this.hosts.getHost(address)?.entry.incarnation;
     if (this.hosts.hear(sender, sentAt, now)) {
-      const isOwnClock = echo !== undefined && echo <= now;
-      this.options.onEntry(sender, now, isOwnClock ? echo : undefined);
+      const isValidEcho = echo !== undefined && echo <= now;
+      this.options.onEntry(sender, now, isValidEcho ? echo : undefined);
     }
-    this.hearOthers(message, now);
-    this.receiver.take(message.rumours, address);
-    if (message.probe > 0) {
-      this.detector.answer(address, message.probe, this.options.address);
+    this.applyRelayedState(message, now);
+    this.receiver.apply(message.rumours, address);
+    if (message.probeNonce > 0) {
+      this.detector.acknowledge(
+        address,
+        message.probeNonce,
+        this.options.address,
+      );
     }
-    const isNew = this.hosts.isLarge && before !== sender.incarnation;
-    if (isNew || this.isAheadOf(sender)) this.tell(address, {});
-    this.correct(sender, now);
+    const isNew = this.hosts.isLarge && knownIncarnation !== sender.incarnation;
+    if (isNew || this.lacksPublication(sender)) this.sendMessage(address, {});
+    this.sendCorrection(sender, now);
     this.compareDigests(message, now);
   }
 
-  /** Whether this host knows what is published while another knows nothing. */
-  private isAheadOf({ publicationAgeMs }: PeerEntry): boolean {
+  /** Whether the sender of an entry has no copy of the publication, and this host has one. */
+  private lacksPublication({ publicationAgeMs }: PeerEntry): boolean {
     return publicationAgeMs < 0 &&
       this.self.getEntry().publicationAgeMs >= 0;
   }
 
-  private hearOthers({ others, reports }: GossipMessage, now: number): void {
-    for (const { entry, agoMs } of others) {
-      const heardAt = now - Math.max(0, agoMs);
-      if (this.hosts.hearOf(entry, heardAt)) {
-        this.options.onEntry(entry, heardAt);
+  private applyRelayedState(
+    { relayedEntries, loadReports }: GossipMessage,
+    now: number,
+  ): void {
+    for (const { entry, agoMs } of relayedEntries) {
+      const lastSeenAt = now - Math.max(0, agoMs);
+      if (this.hosts.applyRelayedEntry(entry, lastSeenAt)) {
+        this.options.onEntry(entry, lastSeenAt);
       }
     }
-    for (const report of reports) {
-      const host = this.hosts.hearReport(report, now);
-      if (host) this.options.onEntry(host.entry, host.heardAt);
+    for (const report of loadReports) {
+      const host = this.hosts.applyLoadReport(report, now);
+      if (host) this.options.onEntry(host.entry, host.lastSeenAt);
     }
   }
 
-  /** Tells a host what is wrongly believed of it, so that it refutes that. */
-  private correct(
+  /** Sends a host this host's outdated state of it, so that the host refutes it. */
+  private sendCorrection(
     { gossipAddress, incarnation }: PeerEntry,
     now: number,
   ): void {
     const known = this.hosts.getHost(gossipAddress);
     if (!known) return;
-    const isBelieved = known.entry.incarnation === incarnation &&
+    const isUpToDate = known.entry.incarnation === incarnation &&
       (known.status === "alive" || !this.hosts.isLarge);
-    if (isBelieved) return;
-    this.rumours.send(gossipAddress, [this.hosts.describe(known, now)]);
+    if (isUpToDate) return;
+    this.rumours.send(gossipAddress, [this.hosts.buildRumour(known, now)]);
   }
 
   private compareDigests(message: GossipMessage, now: number): void {
     const { sender, hostsDigest } = message;
     if (hostsDigest === 0) return;
     if (hostsDigest === this.composer.computeDigest()) {
-      return this.pull.noteEqual();
+      return this.pull.recordDigestMatch();
     }
-    const isStarting = FleetTargets.isStarting(this.round);
-    this.pull.noteDifferent(sender, isStarting, now);
+    const isStarting = GossipTargets.isStarting(this.round);
+    this.pull.recordDigestMismatch(sender, isStarting, now);
   }
 }
--- a/src/peers/gossip_schema.ts
+++ b/src/peers/gossip_schema.ts
@@ -1,10 +1,11 @@
 import { z } from "zod";
 import { HOST_PHASES } from "./host_phase.ts";
-import { hostReportsSchema } from "./load_report.ts";
+import { loadReportsSchema } from "./load_report.ts";
 import { hostRumoursSchema } from "./host_rumour.ts";
 import { loadCountsSchema, prefixFactsSchema } from "./told_schemas.ts";
 
-/** What a host tells of itself; it travels as a list, for field names would be two thirds of a datagram. */
+/** The state that a host advertises about itself. Encoded as a list, since field names would be two thirds of a
+ * datagram. */
 export const peerEntrySchema = z.tuple([
   z.string(),
   z.number(),
@@ -20,32 +21,32 @@
   loadCountsSchema,
 ]).transform((list) => ({
   id: list[0],
-  /** Grows with each start of the host, each change of its phase and each suspicion that it refutes. */
+  /** Increases with each start of the host, each change of its phase and each suspicion that it refutes. */
   incarnation: list[1],
-  /** Grows with each time the host tells of itself. */
+  /** Increases with each gossip round of the host. */
   sequence: list[2],
-  /** Where it hears gossip, as ip:port. */
+  /** Address of its gossip socket, as ip:port. */
   gossipAddress: list[3],
-  /** Where it answers other hosts over HTTP, as ip:port. */
+  /** Address at which it serves other hosts over HTTP, as ip:port. */
   peerAddress: list[4],
-  /** Where callers connect, as ip:port. */
+  /** Address at which callers connect, as ip:port. */
   callerAddress: list[5],
   hall: list[6],
   phase: HOST_PHASES[list[7]]!,
-  /** Digest of what is published as the host knows it. */
+  /** Digest of the host's copy of the publication. */
   digest: list[8],
-  /** Highest revision it has merged. */
+  /** Highest revision that it has merged. */
   revision: list[9],
-  /** Age of what it knows, in milliseconds; -1 where it knows nothing. */
+  /** Age of its copy, in milliseconds; -1 if it has none. */
   publicationAgeMs: list[10],
-  /** Requests it has running, by short name of the upstream. */
+  /** Its in-flight requests by upstream, each a `LoadCount`. */
   loads: list[11],
 }));
 
-/** What a host tells of itself. */
+/** The state that a host advertises about itself. */
 export type PeerEntry = z.infer<typeof peerEntrySchema>;
 
-/** What a host tells another of itself and of others, as a list. */
+/** A gossip message, encoded as a list. */
 export const gossipSchema = z.tuple([
   peerEntrySchema,
   z.number(),
@@ -55,26 +56,26 @@
   z.number(),
   z.number(),
   hostRumoursSchema,
-  hostReportsSchema,
+  loadReportsSchema,
 ]).transform((list) => ({
   sender: list[0],
-  /** Sender's monotonic milliseconds. */
+  /** Monotonic milliseconds of the sender's clock. */
   sentAt: list[1],
-  /** The latest `sentAt` that the sender has from the receiver, or nothing. */
+  /** The latest `sentAt` that the sender has received from the receiver, if any. */
   echo: list[2] ?? undefined,
-  /** Which engines were sent which parts of prompts, by short names, and the tokens they had to read. */
+  /** Which engines were sent which parts of prompts, and the tokens that they had to read; each a `PrefixFact`. */
   facts: list[3],
-  /** Other hosts as the sender last heard of them. */
-  others: list[4].map(([entry, agoMs]) => ({ entry, agoMs })),
-  /** Number with which the receiver answers; 0 where no answer is asked for. */
-  probe: list[5],
-  /** Digest of the hosts that the sender takes for live. */
+  /** Latest entries of other hosts that the sender has, with their ages. */
+  relayedEntries: list[4].map(([entry, agoMs]) => ({ entry, agoMs })),
+  /** Nonce of the probe that the receiver acknowledges; 0 if the message is not a probe. */
+  probeNonce: list[5],
+  /** Digest of the hosts that the sender considers live; 0 in a small fleet. */
   hostsDigest: list[6],
-  /** What the sender believes of other hosts, where that changed lately. */
+  /** Recent membership changes that the sender disseminates. */
   rumours: list[7],
   /** In-flight requests of other hosts, as last reported to the sender. */
-  reports: list[8],
+  loadReports: list[8],
 }));
 
-/** What a host tells another. */
+/** A gossip message. */
 export type GossipMessage = z.infer<typeof gossipSchema>;
--- a/src/peers/host_pull.ts
+++ b/src/peers/host_pull.ts
@@ -1,62 +1,68 @@
 import type { PeerEntry } from "./gossip_schema.ts";
 import type { HostState } from "./known_host.ts";
 
-/** Time for which hosts may differ in whom they take for live before one asks the other for all it knows, in milliseconds:
- * rumours take less to reach all. */
-const SETTLE_MS = 1_200;
-/** Least time between two such questions, in milliseconds; shorter while this host starts and knows few others. */
-const INTERVAL_MS = { starting: 400, settled: 1_200 } as const;
+/** Time for which the digests of live hosts may differ before a host pulls the host table of another, in milliseconds;
+ * rumours reach all hosts in less. */
+const MISMATCH_TOLERANCE_MS = 1_200;
+/** Minimum time between two pulls, in milliseconds; shorter while this host starts and knows few others. */
+const MIN_PULL_INTERVAL_MS = { starting: 400, settled: 1_200 } as const;
 
-/** Reads all hosts that another knows.
- * @param host The other.
- * @param done Told what was read; nothing where the other did not answer. */
+/** Reads the host table of another host.
+ * @param host The other host.
+ * @param done Called with the states read, or with undefined if the other host did not answer. */
 export type ReadHosts = (
   host: PeerEntry,
   done: (states: readonly HostState[] | undefined) => void,
 ) => void;
 
-/** Asks another host for all hosts that it knows, where the two differ in whom they take for live. */
-export class HostPull {
-  private isReading = false;
-  private readAt = -Infinity;
-  private differsSince: number | undefined;
+/** Anti-entropy: pulls the host table of another host when the two persistently differ in which hosts they consider
+ * live. */
+export class HostTablePull {
+  private isPulling = false;
+  private pulledAt = -Infinity;
+  private mismatchSince: number | undefined;
 
   private constructor(
     private readonly readHosts: ReadHosts,
-    private readonly onStates: (states: readonly HostState[]) => void,
+    private readonly mergeStates: (states: readonly HostState[]) => void,
   ) {}
 
   /** Creates a pull.
-   * @param readHosts Reads all hosts that another knows.
-   * @param onStates Takes what was read. */
+   * @param readHosts Reads the host table of another host.
+   * @param mergeStates Merges the states read. */
   static create(
     readHosts: ReadHosts,
-    onStates: (states: readonly HostState[]) => void,
-  ): HostPull {
-    return new HostPull(readHosts, onStates);
+    mergeStates: (states: readonly HostState[]) => void,
+  ): HostTablePull {
+    return new HostTablePull(readHosts, mergeStates);
   }
 
-  /** Takes that another host knows the same hosts. */
-  noteEqual(): void {
-    this.differsSince = undefined;
+  /** Records that another host considers the same hosts live. */
+  recordDigestMatch(): void {
+    this.mismatchSince = undefined;
   }
 
-  /** Takes that another host does not; asks it where that has lasted.
-   * @param host The other.
+  /** Records that another host considers other hosts live, and pulls its table if the difference has lasted.
+   * @param host The other host.
    * @param isStarting Whether this host has just started.
    * @param now Monotonic milliseconds. */
-  noteDifferent(host: PeerEntry, isStarting: boolean, now: number): void {
-    this.differsSince ??= now;
-    const settleMs = isStarting ? 0 : SETTLE_MS;
-    const intervalMs = INTERVAL_MS[isStarting ? "starting" : "settled"];
-    const isDue = now - this.differsSince >= settleMs &&
-      now - this.readAt >= intervalMs;
-    if (this.isReading || !isDue) return;
-    this.readAt = now;
-    this.isReading = true;
+  recordDigestMismatch(
+    host: PeerEntry,
+    isStarting: boolean,
+    now: number,
+  ): void {
+    this.mismatchSince ??= now;
+    const toleranceMs = isStarting ? 0 : MISMATCH_TOLERANCE_MS;
+    const intervalMs =
+      MIN_PULL_INTERVAL_MS[isStarting ? "starting" : "settled"];
+    const isDue = now - this.mismatchSince >= toleranceMs &&
+      now - this.pulledAt >= intervalMs;
+    if (this.isPulling || !isDue) return;
+    this.pulledAt = now;
+    this.isPulling = true;
     this.readHosts(host, (states) => {
-      this.isReading = false;
-      if (states) this.onStates(states);
+      this.isPulling = false;
+      if (states) this.mergeStates(states);
     });
   }
 }
--- a/src/peers/host_rumour.ts
+++ b/src/peers/host_rumour.ts
@@ -1,33 +1,35 @@
 import { HOST_PHASES, type HostPhase } from "./host_phase.ts";
 import { numberListSchema } from "./told_schemas.ts";
 
-/** What one host believes of another. A status outweighs those before it within an incarnation. */
+/** Membership statuses of a host, in their order on the wire; within an incarnation a status overrides those before
+ * it. */
 export const HOST_STATUSES = ["alive", "suspect", "failed"] as const;
 
-/** What one host believes of another. */
+/** Membership status of a host. */
 export type HostStatus = typeof HOST_STATUSES[number];
 
-/** A belief about a host as it is passed on. */
+/** A membership update about a host, disseminated by gossip. */
 export interface HostRumour {
-  /** Short name of the host's gossip address. */
+  /** Hash of the host's gossip address. */
   name: number;
-  /** Grows with each start of the host, each change of its phase and each suspicion that it refutes. */
+  /** Increases with each start of the host, each change of its phase and each suspicion that it refutes. */
   incarnation: number;
   status: HostStatus;
   phase: HostPhase;
-  /** Milliseconds since the status was first believed anywhere. */
+  /** Milliseconds since the status was first set on any host. */
   agoMs: number;
 }
 
-/** Numbers that one rumour takes in a list. */
-const NUMBERS_PER_RUMOUR = 5;
+/** Numbers per rumour in a list. */
+const RUMOUR_LENGTH = 5;
 
-/** Rumours as one list of numbers; numbers that name no status or phase, and a rest, are refused. */
+/** Rumours as one list of numbers; rejects unknown statuses and phases, negative ages, and an incomplete last
+ * rumour. */
 export const hostRumoursSchema = numberListSchema
-  .refine(isWellFormed, "must be whole rumours")
-  .transform(readRumours);
+  .refine(isWellFormed, "truncated or invalid list of rumours")
+  .transform(decodeRumours);
 
-/** Writes rumours as the list that `hostRumoursSchema` reads.
+/** Encodes rumours as the list that `hostRumoursSchema` decodes.
  * @param rumours The rumours. */
 export function packHostRumours(rumours: readonly HostRumour[]): number[] {
   return rumours.flatMap(({ name, incarnation, status, phase, agoMs }) => [
@@ -39,32 +41,32 @@
   ]);
 }
 
-/** Whether a status outweighs another within one incarnation.
+/** Whether a status overrides another within the same incarnation.
  * @param status The status.
- * @param other The other. */
-export function outweighs(status: HostStatus, other: HostStatus): boolean {
+ * @param other The status that it may override. */
+export function overrides(status: HostStatus, other: HostStatus): boolean {
   return HOST_STATUSES.indexOf(status) > HOST_STATUSES.indexOf(other);
 }
 
 function isWellFormed(list: readonly number[]): boolean {
-  if (list.length % NUMBERS_PER_RUMOUR !== 0) return false;
-  for (let at = 0; at < list.length; at += NUMBERS_PER_RUMOUR) {
-    const isKnown = HOST_STATUSES[list[at + 2]!] !== undefined &&
-      HOST_PHASES[list[at + 3]!] !== undefined;
-    if (!isKnown || list[at + 4]! < 0) return false;
+  if (list.length % RUMOUR_LENGTH !== 0) return false;
+  for (let index = 0; index < list.length; index += RUMOUR_LENGTH) {
+    const isKnown = HOST_STATUSES[list[index + 2]!] !== undefined &&
+      HOST_PHASES[list[index + 3]!] !== undefined;
+    if (!isKnown || list[index + 4]! < 0) return false;
   }
   return true;
 }
 
-function readRumours(list: readonly number[]): HostRumour[] {
+function decodeRumours(list: readonly number[]): HostRumour[] {
   const rumours: HostRumour[] = [];
-  for (let at = 0; at < list.length; at += NUMBERS_PER_RUMOUR) {
+  for (let index = 0; index < list.length; index += RUMOUR_LENGTH) {
     rumours.push({
-      name: list[at]!,
-      incarnation: list[at + 1]!,
-      status: HOST_STATUSES[list[at + 2]!]!,
-      phase: HOST_PHASES[list[at + 3]!]!,
-      agoMs: list[at + 4]!,
+      name: list[index]!,
+      incarnation: list[index + 1]!,
+      status: HOST_STATUSES[list[index + 2]!]!,
+      phase: HOST_PHASES[list[index + 3]!]!,
+      agoMs: list[index + 4]!,
     });
   }
   return rumours;
--- a/src/peers/host_table.ts
+++ b/src/peers/host_table.ts
@@ -1,50 +1,55 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PeerEntry } from "./gossip_schema.ts";
-import type { HostReport } from "./load_report.ts";
-import { type HostRumour, type HostStatus, outweighs } from "./host_rumour.ts";
+import type { LoadReport } from "./load_report.ts";
+import { type HostRumour, type HostStatus, overrides } from "./host_rumour.ts";
 import type { HostState, KnownHost } from "./known_host.ts";
 
-/** Hosts up to which all hear each other in each round. */
+/** Maximum number of other hosts for all-to-all gossip in every round. */
 export const SMALL_FLEET = 12;
 
-/** Silence after which a host counts as lost in a small fleet, in milliseconds: three rounds of gossip. */
-const LIVE_FOR_MS = 700;
-/** Silence of all hosts after which this one takes none of them for live in a large fleet, in milliseconds. */
-const ISOLATED_AFTER_MS = 2_400;
-/** Time from the suspicion of a host to its failure, in milliseconds, in which the host may refute it. */
+/** Time without contact after which a host of a small fleet is not considered live, in milliseconds: three gossip
+ * rounds. */
+const LIVENESS_TIMEOUT_MS = 700;
+/** Time without contact to any host after which this host considers none live in a large fleet, in milliseconds. */
+const ISOLATION_TIMEOUT_MS = 2_400;
+/** Time from the suspicion of a host until it is declared failed, in milliseconds; the host may refute it until
+ * then. */
 export const SUSPICION_MS = 750;
-/** Time after which a host that is lost is forgotten, in milliseconds: longer than a host takes to come back. */
-const REMEMBERED_MS = 60_000;
+/** Time after which an unreachable host is removed from the table, in milliseconds; longer than a host takes to
+ * return to the fleet. */
+const UNREACHABLE_RETENTION_MS = 60_000;
 
-/** Told of each host of which this one believes something new. */
-export type OnBelief = (host: KnownHost) => void;
+/** Called when a host is learned by gossip, has a new incarnation or changes its status. */
+export type OnMembershipChange = (host: KnownHost) => void;
 
-/** The known hosts and which of them are live: in a small fleet those seen lately, in a large one all that the fleet's failure
- * detectors have not declared failed. */
+/** Table of the other known hosts. In a small fleet the hosts with a recent contact are considered live; in a large one
+ * all that the failure detectors of the fleet have not declared failed. */
 export class HostTable {
   private readonly hosts = new Map<string, KnownHost>();
   private readonly byName = new Map<number, KnownHost>();
   private readonly ownName: number;
-  private lastHeardAt = -Infinity;
-  private believedLive: KnownHost[] | undefined;
-  /** Digest of the hosts that have not failed; undefined where that has changed. */
+  /** Monotonic milliseconds of the last contact with any host. */
+  private lastContactAt = -Infinity;
+  /** Cached live hosts of a large fleet; undefined after a change. */
+  private cachedLive: KnownHost[] | undefined;
+  /** Cached digest of the hosts that have not failed; undefined after a change. */
   private liveDigest: number | undefined;
 
   private constructor(
     private readonly ownAddress: string,
-    private readonly onBelief: OnBelief,
+    private readonly onMembershipChange: OnMembershipChange,
   ) {
     this.ownName = hashText(ownAddress);
   }
 
   /** Creates an empty table.
-   * @param ownAddress Gossip address of this host, which is never listed.
-   * @param onBelief Told of each host of which this one believes something new. */
+   * @param ownAddress Gossip address of this host, which is never in the table.
+   * @param onMembershipChange Called when a host is learned by gossip, has a new incarnation or changes its status. */
   static create(
     ownAddress: string,
-    onBelief: OnBelief = () => undefined,
+    onMembershipChange: OnMembershipChange = () => undefined,
   ): HostTable {
-    return new HostTable(ownAddress, onBelief);
+    return new HostTable(ownAddress, onMembershipChange);
   }
 
   /** Whether there are too many hosts for all-to-all gossip in every round. */
@@ -62,187 +67,188 @@
     return [...this.hosts.values()];
   }
 
-  /** Returns a host, or nothing.
+  /** Returns a host, if known.
    * @param gossipAddress Its gossip address. */
   getHost(gossipAddress: string): KnownHost | undefined {
     return this.hosts.get(gossipAddress);
   }
 
-  /** Returns a host, or nothing.
-   * @param name Its short name. */
+  /** Returns a host, if known.
+   * @param name Hash of its gossip address. */
   findByName(name: number): KnownHost | undefined {
     return this.byName.get(name);
   }
 
-  /** The hosts taken for live.
+  /** Returns the hosts that are considered live.
    * @param now Monotonic milliseconds. */
   getLive(now: number): readonly KnownHost[] {
     if (!this.isLarge) {
       return this.getAll().filter((host) => this.isLive(host, now));
     }
     if (this.isIsolated(now)) return [];
-    this.believedLive ??= this.getAll().filter((host) =>
+    this.cachedLive ??= this.getAll().filter((host) =>
       host.status !== "failed"
     );
-    return this.believedLive;
+    return this.cachedLive;
   }
 
-  /** Whether a host is taken for live.
+  /** Whether a host is considered live.
    * @param host The host.
    * @param now Monotonic milliseconds. */
   isLive(host: KnownHost, now: number): boolean {
-    if (!this.isLarge) return now - host.heardAt <= LIVE_FOR_MS;
+    if (!this.isLarge) return now - host.lastSeenAt <= LIVENESS_TIMEOUT_MS;
     return host.status !== "failed" && !this.isIsolated(now);
   }
 
-  /** Number that is equal on two hosts that take the same starts of hosts for live, this one included.
+  /** Computes a digest of the incarnations that are considered live, this host's included; it is equal on two hosts
+   * that consider the same incarnations live.
    * @param ownIncarnation Incarnation of this host. */
   computeDigest(ownIncarnation: number): number {
     this.liveDigest ??= this.getAll().filter(({ status }) =>
       status !== "failed"
     ).reduce(
       (digest, { name, entry }) =>
-        digest ^ digestBelief(name, entry.incarnation),
+        digest ^ hashIncarnation(name, entry.incarnation),
       0,
     );
-    const own = digestBelief(this.ownName, ownIncarnation);
+    const own = hashIncarnation(this.ownName, ownIncarnation);
     return (this.liveDigest ^ own) >>> 0;
   }
 
-  /** Takes what a host told of itself.
-   * @param entry What it told.
-   * @param sentAt Its clock when it told.
+  /** Applies an entry that the host itself sent.
+   * @param entry The entry.
+   * @param sentAt Monotonic milliseconds of the host's clock when it sent the entry.
    * @param now Monotonic milliseconds.
-   * @returns Whether this is news and not a datagram overtaken by a later one. */
+   * @returns Whether the entry is new, rather than overtaken by a later datagram. */
   hear(entry: PeerEntry, sentAt: number, now: number): boolean {
     if (entry.gossipAddress === this.ownAddress) return false;
-    this.lastHeardAt = now;
+    this.lastContactAt = now;
     const known = this.hosts.get(entry.gossipAddress);
     if (!known || entry.incarnation > known.entry.incarnation) {
-      this.onBelief(this.believeAlive(entry, now, sentAt));
+      this.onMembershipChange(this.markAlive(entry, now, sentAt));
       return true;
     }
     if (entry.incarnation < known.entry.incarnation) return false;
-    const isOvertaken = known.entry.sequence >= entry.sequence &&
-      known.lastSentAt !== undefined && known.lastSentAt >= sentAt;
-    if (isOvertaken) return false;
+    const isOutdated = known.entry.sequence >= entry.sequence &&
+      known.lastRemoteSentAt !== undefined && known.lastRemoteSentAt >= sentAt;
+    if (isOutdated) return false;
     known.entry = entry;
-    known.heardAt = now;
-    known.lastSentAt = sentAt;
+    known.lastSeenAt = now;
+    known.lastRemoteSentAt = sentAt;
     return true;
   }
 
-  /** Takes what another host tells of a host.
-   * @param entry What the host had told.
-   * @param heardAt Monotonic milliseconds at which it had told that.
-   * @returns Whether this is news. */
-  hearOf(entry: PeerEntry, heardAt: number): boolean {
+  /** Applies an entry that another host relayed.
+   * @param entry The entry.
+   * @param lastSeenAt Monotonic milliseconds at which the host had sent it.
+   * @returns Whether the entry is new. */
+  applyRelayedEntry(entry: PeerEntry, lastSeenAt: number): boolean {
     if (entry.gossipAddress === this.ownAddress) return false;
     const known = this.hosts.get(entry.gossipAddress);
     if (!known || entry.incarnation > known.entry.incarnation) {
-      this.onBelief(this.believeAlive(entry, heardAt, undefined));
+      this.onMembershipChange(this.markAlive(entry, lastSeenAt, undefined));
       return true;
     }
     const isNewer = entry.incarnation === known.entry.incarnation &&
       entry.sequence > known.entry.sequence;
     if (!isNewer) return false;
     known.entry = entry;
-    known.heardAt = Math.max(known.heardAt, heardAt);
+    known.lastSeenAt = Math.max(known.lastSeenAt, lastSeenAt);
     return true;
   }
 
-  /** Takes another host's report of a host's requests.
+  /** Applies a report of a host's in-flight requests that another host relayed.
    * @param report The report.
    * @param now Monotonic milliseconds.
-   * @returns The host, where this is news. */
-  hearReport(report: HostReport, now: number): KnownHost | undefined {
+   * @returns The host, if the report is new. */
+  applyLoadReport(report: LoadReport, now: number): KnownHost | undefined {
     const known = this.byName.get(report.name);
     const { incarnation, sequence, agoMs, loads } = report;
     if (!known || known.entry.incarnation !== incarnation) return undefined;
     if (sequence <= known.entry.sequence) return undefined;
     known.entry = { ...known.entry, sequence, loads };
-    known.heardAt = Math.max(known.heardAt, now - Math.max(0, agoMs));
+    known.lastSeenAt = Math.max(known.lastSeenAt, now - Math.max(0, agoMs));
     return known;
   }
 
-  /** Notes a sign of life of a host.
+  /** Records a contact with a host.
    * @param address Its gossip address.
-   * @param heardAt Monotonic milliseconds at which it was heard. */
-  noteHeard(address: string, heardAt: number): void {
-    this.lastHeardAt = Math.max(this.lastHeardAt, heardAt);
+   * @param seenAt Monotonic milliseconds of the contact. */
+  recordContact(address: string, seenAt: number): void {
+    this.lastContactAt = Math.max(this.lastContactAt, seenAt);
     const known = this.hosts.get(address);
-    if (known && known.heardAt < heardAt) known.heardAt = heardAt;
+    if (known && known.lastSeenAt < seenAt) known.lastSeenAt = seenAt;
   }
 
-  /** Merges what another host believes of a host.
-   * @param rumour The belief.
+  /** Applies a membership update from another host.
+   * @param rumour The update.
    * @param now Monotonic milliseconds.
-   * @returns Whether the host is known here. */
+   * @returns Whether the host is in the table. */
   applyRumour(rumour: HostRumour, now: number): boolean {
     const known = this.byName.get(rumour.name);
     if (!known) return false;
     const { incarnation, status, phase } = rumour;
     const isNewer = incarnation > known.entry.incarnation ||
       (incarnation === known.entry.incarnation &&
-        outweighs(status, known.status));
+        overrides(status, known.status));
     if (!isNewer) return true;
     known.entry = { ...known.entry, incarnation, phase };
-    this.believe(known, status, now - rumour.agoMs);
+    this.changeStatus(known, status, now - rumour.agoMs);
     return true;
   }
 
-  /** Suspects a host that did not answer probes.
+  /** Marks a host as suspect that did not acknowledge probes.
    * @param host The host.
    * @param now Monotonic milliseconds. */
   suspect(host: KnownHost, now: number): void {
-    if (host.status === "alive") this.believe(host, "suspect", now);
+    if (host.status === "alive") this.changeStatus(host, "suspect", now);
   }
 
-  /** Takes a host for failed, unless its suspicion was refuted.
+  /** Declares a suspected host failed, unless it has refuted the suspicion.
    * @param host The host.
    * @param since Monotonic milliseconds at which the suspicion began. */
   expireSuspicion(host: KnownHost, since: number): void {
-    const isLasting = host.status === "suspect" && host.statusSince === since;
-    if (isLasting) this.believe(host, "failed", since + SUSPICION_MS);
+    const isCurrent = host.status === "suspect" && host.statusSince === since;
+    if (isCurrent) this.changeStatus(host, "failed", since + SUSPICION_MS);
   }
 
-  /** What this host believes of another, to be passed on.
-   * @param host The other.
+  /** Builds the membership update about a host for dissemination.
+   * @param host The host.
    * @param now Monotonic milliseconds. */
-  describe(host: KnownHost, now: number): HostRumour {
+  buildRumour(host: KnownHost, now: number): HostRumour {
     const { name, entry: { incarnation, phase }, status, statusSince } = host;
     return { name, incarnation, status, phase, agoMs: now - statusSince };
   }
 
-  /** All known hosts, for another that lacks some.
+  /** Returns the state of all known hosts, for a host that lacks some.
    * @param now Monotonic milliseconds. */
   getStates(now: number): HostState[] {
-    return this.getAll().map(({ entry, status, heardAt }) => ({
+    return this.getAll().map(({ entry, status, lastSeenAt }) => ({
       entry,
       status,
-      agoMs: now - heardAt,
+      agoMs: now - lastSeenAt,
     }));
   }
 
-  /** Merges all that another host knows. A host that has failed there is suspected here first: after a partition both sides
-   * hold hosts for failed that live. Hosts that are new here are not passed on, for others read them too.
-   * @param states What it knows.
+  /** Merges the host table of another host. A host that has failed there is only suspected here, since after a
+   * partition both sides consider live hosts failed. New hosts are not disseminated, since other hosts pull them too.
+   * @param states States of the hosts in that table.
    * @param now Monotonic milliseconds.
-   * @returns The hosts that are new here. */
+   * @returns The hosts that are new to this table. */
   mergeStates(states: readonly HostState[], now: number): KnownHost[] {
     return states.flatMap((state) => this.mergeState(state, now) ?? []);
   }
 
-  /** Forgets the hosts that have been lost for long.
+  /** Removes the hosts that have been unreachable for longer than the retention time.
    * @param now Monotonic milliseconds. */
-  forget(now: number): void {
+  removeExpired(now: number): void {
     for (const [address, host] of this.hosts) {
       if (this.isLarge && host.status !== "failed") continue;
-      const lostAt = Math.max(host.heardAt, host.statusSince);
-      if (now - lostAt <= REMEMBERED_MS) continue;
+      const unreachableSince = Math.max(host.lastSeenAt, host.statusSince);
+      if (now - unreachableSince <= UNREACHABLE_RETENTION_MS) continue;
       this.hosts.delete(address);
       this.byName.delete(host.name);
-      this.believedLive = undefined;
+      this.cachedLive = undefined;
       this.liveDigest = undefined;
     }
   }
@@ -250,54 +256,58 @@
   private mergeState(state: HostState, now: number): KnownHost | undefined {
     const { entry, status, agoMs } = state;
     if (entry.gossipAddress === this.ownAddress) return undefined;
-    const heardAt = now - Math.max(0, agoMs);
+    const lastSeenAt = now - Math.max(0, agoMs);
     const known = this.hosts.get(entry.gossipAddress);
     if (!known && status === "failed") return undefined;
-    if (!known) return this.believeAlive(entry, heardAt, undefined);
-    this.hearOf(entry, heardAt);
-    const isSameStart = known.entry.incarnation === entry.incarnation;
-    if (status !== "alive" && isSameStart) this.suspect(known, now);
+    if (!known) return this.markAlive(entry, lastSeenAt, undefined);
+    this.applyRelayedEntry(entry, lastSeenAt);
+    const isSameIncarnation = known.entry.incarnation === entry.incarnation;
+    if (status !== "alive" && isSameIncarnation) this.suspect(known, now);
     return undefined;
   }
 
   private isIsolated(now: number): boolean {
-    return now - this.lastHeardAt > ISOLATED_AFTER_MS;
+    return now - this.lastContactAt > ISOLATION_TIMEOUT_MS;
   }
 
-  private believeAlive(
+  private markAlive(
     entry: PeerEntry,
-    heardAt: number,
-    lastSentAt: number | undefined,
+    lastSeenAt: number,
+    lastRemoteSentAt: number | undefined,
   ): KnownHost {
     const address = entry.gossipAddress;
     const host: KnownHost = this.hosts.get(address) ?? {
       entry,
       name: hashText(address),
-      heardAt,
-      lastSentAt,
+      lastSeenAt,
+      lastRemoteSentAt,
       status: "alive",
-      statusSince: heardAt,
+      statusSince: lastSeenAt,
     };
-    Object.assign(host, { entry, heardAt, lastSentAt });
+    Object.assign(host, { entry, lastSeenAt, lastRemoteSentAt });
     this.hosts.set(address, host);
     this.byName.set(host.name, host);
-    this.setStatus(host, "alive", heardAt);
+    this.setStatus(host, "alive", lastSeenAt);
     return host;
   }
 
-  private believe(host: KnownHost, status: HostStatus, since: number): void {
+  private changeStatus(
+    host: KnownHost,
+    status: HostStatus,
+    since: number,
+  ): void {
     this.setStatus(host, status, since);
-    this.onBelief(host);
+    this.onMembershipChange(host);
   }
 
   private setStatus(host: KnownHost, status: HostStatus, since: number): void {
     host.status = status;
     host.statusSince = since;
-    this.believedLive = undefined;
+    this.cachedLive = undefined;
     this.liveDigest = undefined;
   }
 }
 
-function digestBelief(name: number, incarnation: number): number {
+function hashIncarnation(name: number, incarnation: number): number {
   return hashText(String(incarnation), name);
 }
--- a/src/peers/known_host.ts
+++ b/src/peers/known_host.ts
@@ -1,21 +1,21 @@
 import type { PeerEntry } from "./gossip_schema.ts";
 import type { HostStatus } from "./host_rumour.ts";
 
-/** The latest known state of another host. */
+/** Latest known state of another host. */
 export interface KnownHost {
   entry: PeerEntry;
-  /** Short name of its gossip address. */
+  /** Hash of its gossip address, which identifies it in rumours and load reports. */
   name: number;
-  /** Monotonic milliseconds at which the host told this, as far as is known. */
-  heardAt: number;
-  /** The host's clock when it last wrote to this one, in its own monotonic milliseconds. */
-  lastSentAt: number | undefined;
+  /** Monotonic milliseconds of the last known contact with the host, direct or through another host. */
+  lastSeenAt: number;
+  /** Monotonic milliseconds of the host's own clock when it sent its last message to this one. */
+  lastRemoteSentAt: number | undefined;
   status: HostStatus;
-  /** Monotonic milliseconds at which the status was first believed anywhere. */
+  /** Monotonic milliseconds at which the status was first set on any host. */
   statusSince: number;
 }
 
-/** A known host as one host tells it to another that lacks it. */
+/** State of a host as sent to another host that pulls the host table. */
 export interface HostState {
   entry: PeerEntry;
   status: HostStatus;
--- a/src/peers/liveness_logger.ts
+++ b/src/peers/liveness_logger.ts
@@ -2,36 +2,36 @@
 import type { HostTable } from "./host_table.ts";
 import type { KnownHost } from "./known_host.ts";
 
-/** Logs which hosts begin and cease to be taken for live. */
-export class LiveLog {
-  /** Ids of the hosts that were taken for live when last looked. */
-  private readonly liveBefore = new Set<string>();
+/** Logs hosts that become live or cease to be live. */
+export class LivenessLogger {
+  /** Ids of the hosts that were live at the last check. */
+  private readonly previouslyLive = new Set<string>();
 
   private constructor(
     private readonly hosts: HostTable,
     private readonly logger: Logger,
   ) {}
 
-  /** Creates a log.
-   * @param hosts The hosts.
-   * @param logger Where changes are written. */
-  static create(hosts: HostTable, logger: Logger): LiveLog {
-    return new LiveLog(hosts, logger);
+  /** Creates a logger of liveness changes.
+   * @param hosts The host table.
+   * @param logger Receives the log lines. */
+  static create(hosts: HostTable, logger: Logger): LivenessLogger {
+    return new LivenessLogger(hosts, logger);
   }
 
-  /** Writes a line for each host that has changed.
+  /** Logs each host whose liveness has changed since the last call.
    * @param now Monotonic milliseconds. */
-  update(now: number): void {
-    for (const host of this.hosts.getAll()) this.updateHost(host, now);
+  logChanges(now: number): void {
+    for (const host of this.hosts.getAll()) this.logChange(host, now);
   }
 
-  private updateHost(host: KnownHost, now: number): void {
+  private logChange(host: KnownHost, now: number): void {
     const { id, phase } = host.entry;
     const isLive = this.hosts.isLive(host, now);
-    if (isLive === this.liveBefore.has(id)) return;
-    if (isLive) this.liveBefore.add(id);
-    else this.liveBefore.delete(id);
-    const silentMs = Math.round(now - host.heardAt);
+    if (isLive === this.previouslyLive.has(id)) return;
+    if (isLive) this.previouslyLive.add(id);
+    else this.previouslyLive.delete(id);
+    const silentMs = Math.round(now - host.lastSeenAt);
     this.logger.info(
       { peer: id, phase, silentMs },
       isLive ? "host_heard" : "host_lost",
--- a/src/peers/load_report.ts
+++ b/src/peers/load_report.ts
@@ -1,29 +1,29 @@
 import type { LoadCount } from "../upstreams/load_counts.ts";
 import { numberListSchema } from "./told_schemas.ts";
 
-/** Requests that a host told to have running, as another passes it on. */
-export interface HostReport {
-  /** Short name of the host's gossip address. */
+/** The in-flight requests that a host reported, as relayed by another host. */
+export interface LoadReport {
+  /** Hash of the host's gossip address. */
   name: number;
   incarnation: number;
-  /** The host's sequence number when it told this. */
+  /** Sequence number of the entry that reported them. */
   sequence: number;
-  /** Milliseconds since it told this. */
+  /** Milliseconds since the host reported them. */
   agoMs: number;
   loads: LoadCount[];
 }
 
-/** Numbers of a report before its loads, the last of which is the number of loads. */
-const HEAD_NUMBERS = 5;
+/** Numbers in a report before its loads; the last of them is the number of loads. */
+const HEADER_LENGTH = 5;
 
-/** Reports as one list of numbers; a list that ends within a report is refused. */
-export const hostReportsSchema = numberListSchema
-  .refine(isWellFormed, "must be whole reports")
-  .transform(readReports);
+/** Load reports as one list of numbers; rejects a list that ends within a report. */
+export const loadReportsSchema = numberListSchema
+  .refine(isWellFormed, "truncated or invalid list of load reports")
+  .transform(decodeReports);
 
-/** Writes reports as the list that `hostReportsSchema` reads.
+/** Encodes reports as the list that `loadReportsSchema` decodes.
  * @param reports The reports. */
-export function packHostReports(reports: readonly HostReport[]): number[] {
+export function packLoadReports(reports: readonly LoadReport[]): number[] {
   return reports.flatMap(({ name, incarnation, sequence, agoMs, loads }) => [
     name,
     incarnation,
@@ -34,34 +34,34 @@
   ]);
 }
 
-function getEnd(list: readonly number[], begin: number): number {
-  return begin + HEAD_NUMBERS + 2 * list[begin + HEAD_NUMBERS - 1]!;
+function getReportEnd(list: readonly number[], start: number): number {
+  return start + HEADER_LENGTH + 2 * list[start + HEADER_LENGTH - 1]!;
 }
 
 function isWellFormed(list: readonly number[]): boolean {
-  let begin = 0;
-  while (begin < list.length) {
-    const end = getEnd(list, begin);
-    // Also false where the list ends before the number of loads.
-    if (!(end >= begin + HEAD_NUMBERS && Number.isInteger(end))) return false;
-    begin = end;
+  let start = 0;
+  while (start < list.length) {
+    const end = getReportEnd(list, start);
+    // NaN, and so also rejected, if the list ends before the number of loads.
+    if (!(end >= start + HEADER_LENGTH && Number.isInteger(end))) return false;
+    start = end;
   }
-  return begin === list.length;
+  return start === list.length;
 }
 
-function readReports(list: readonly number[]): HostReport[] {
-  const reports: HostReport[] = [];
-  for (let begin = 0; begin < list.length; begin = getEnd(list, begin)) {
+function decodeReports(list: readonly number[]): LoadReport[] {
+  const reports: LoadReport[] = [];
+  for (let start = 0; start < list.length; start = getReportEnd(list, start)) {
     const loads: LoadCount[] = [];
-    const end = getEnd(list, begin);
-    for (let at = begin + HEAD_NUMBERS; at < end; at += 2) {
-      loads.push([list[at]!, list[at + 1]!]);
+    const end = getReportEnd(list, start);
+    for (let index = start + HEADER_LENGTH; index < end; index += 2) {
+      loads.push([list[index]!, list[index + 1]!]);
     }
     reports.push({
-      name: list[begin]!,
-      incarnation: list[begin + 1]!,
-      sequence: list[begin + 2]!,
-      agoMs: list[begin + 3]!,
+      name: list[start]!,
+      incarnation: list[start + 1]!,
+      sequence: list[start + 2]!,
+      agoMs: list[start + 3]!,
       loads,
     });
   }
--- a/src/peers/local_host_state.ts
+++ b/src/peers/local_host_state.ts
@@ -3,9 +3,9 @@
 import type { HostPhase } from "./host_phase.ts";
 import type { HostRumour } from "./host_rumour.ts";
 
-/** What this host tells of itself, with the incarnation that orders it. */
-export class SelfDescription {
-  /** Short name of this host's gossip address. */
+/** The state that this host advertises about itself, ordered by incarnation and sequence number. */
+export class LocalHostState {
+  /** Hash of this host's gossip address. */
   readonly name: number;
   private sequence = 0;
   private phase: HostPhase | undefined;
@@ -13,7 +13,7 @@
   private constructor(
     address: string,
     private currentIncarnation: number,
-    private readonly describe: () => Omit<
+    private readonly describeSelf: () => Omit<
       PeerEntry,
       "incarnation" | "sequence"
     >,
@@ -21,39 +21,40 @@
     this.name = hashText(address);
   }
 
-  /** Creates a description.
+  /** Creates the state.
    * @param address Gossip address of this host.
-   * @param firstIncarnation The incarnation to begin with.
-   * @param describe The fields that the rest of the process fills in. */
+   * @param firstIncarnation Initial incarnation.
+   * @param describeSelf Returns the fields that the rest of the process sets. */
   static create(
     address: string,
     firstIncarnation: number,
-    describe: () => Omit<PeerEntry, "incarnation" | "sequence">,
-  ): SelfDescription {
-    return new SelfDescription(address, firstIncarnation, describe);
+    describeSelf: () => Omit<PeerEntry, "incarnation" | "sequence">,
+  ): LocalHostState {
+    return new LocalHostState(address, firstIncarnation, describeSelf);
   }
 
-  /** The incarnation in force. */
+  /** Current incarnation. */
   get incarnation(): number {
     return this.currentIncarnation;
   }
 
-  /** Begins another round, whose description outdates that of the last. */
+  /** Starts a gossip round, whose entry supersedes that of the previous round. */
   startRound(): void {
     this.sequence += 1;
   }
 
-  /** Takes over a changed phase; returns whether it has changed. Rumours of the former phase are then outdated. */
+  /** Updates the phase and returns whether it has changed. Except at the first call, a change increments the
+   * incarnation, so that rumours with the former phase are outdated. */
   updatePhase(): boolean {
-    const { phase } = this.describe();
+    const { phase } = this.describeSelf();
     if (phase === this.phase) return false;
     if (this.phase !== undefined) this.currentIncarnation += 1;
     this.phase = phase;
     return true;
   }
 
-  /** Outdates another host's belief about this one; returns whether it had to be refuted.
-   * @param rumour The belief. */
+  /** Refutes a rumour about this host, if necessary, by a higher incarnation; returns whether that was necessary.
+   * @param rumour The rumour. */
   refute({ incarnation, status }: HostRumour): boolean {
     const isOutdated = incarnation < this.currentIncarnation ||
       (incarnation === this.currentIncarnation && status === "alive");
@@ -62,16 +63,16 @@
     return true;
   }
 
-  /** The entry that is gossiped to other hosts. */
+  /** Returns the entry that is gossiped to other hosts. */
   getEntry(): PeerEntry {
     const { currentIncarnation: incarnation, sequence } = this;
-    return { ...this.describe(), incarnation, sequence };
+    return { ...this.describeSelf(), incarnation, sequence };
   }
 
-  /** The rumour that this host is alive. */
+  /** Returns the rumour that this host is alive. */
   getRumour(): HostRumour {
     const { name, currentIncarnation: incarnation } = this;
-    const { phase } = this.describe();
+    const { phase } = this.describeSelf();
     return { name, incarnation, status: "alive", phase, agoMs: 0 };
   }
 }
--- a/src/peers/pack_gossip.ts
+++ b/src/peers/pack_gossip.ts
@@ -6,10 +6,10 @@
   peerEntrySchema,
 } from "./gossip_schema.ts";
 import { HOST_PHASES } from "./host_phase.ts";
-import { packHostReports } from "./load_report.ts";
+import { packLoadReports } from "./load_report.ts";
 import { packHostRumours } from "./host_rumour.ts";
 
-/** Writes a message as the lists that `gossipSchema` reads.
+/** Encodes a message as the list that `gossipSchema` decodes.
  * @param message The message. */
 export function packGossip(
   message: GossipMessage,
@@ -19,18 +19,18 @@
     message.sentAt,
     message.echo ?? null,
     message.facts,
-    message.others.map(({ entry, agoMs }) => [
+    message.relayedEntries.map(({ entry, agoMs }) => [
       packEntry(entry),
       Math.round(agoMs),
     ]),
-    message.probe,
+    message.probeNonce,
     message.hostsDigest,
     packHostRumours(message.rumours),
-    packHostReports(message.reports),
+    packLoadReports(message.loadReports),
   ];
 }
 
-/** Writes an entry as the list that `peerEntrySchema` reads.
+/** Encodes an entry as the list that `peerEntrySchema` decodes.
  * @param entry The entry. */
 export function packEntry(entry: PeerEntry): z.input<typeof peerEntrySchema> {
   return [
--- a/src/peers/packed_client.ts
+++ b/src/peers/packed_client.ts
@@ -2,11 +2,11 @@
 import { pack, unpack } from "msgpackr";
 import { Agent, request } from "undici";
 
-/** Time for a connection to another host, in milliseconds: some times the way there and back; a silent host holds up no
- * question to another for longer. */
+/** Connect timeout, in milliseconds: several round-trip times; an unresponsive host delays a request to the next host
+ * by no longer than this. */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** Asks other hosts over HTTP for what they know; the bodies are msgpack. */
+/** HTTP client for requests to other hosts with msgpack response bodies. */
 export class PackedClient {
   private readonly agent: Agent;
 
@@ -15,15 +15,15 @@
   }
 
   /** Creates a client.
-   * @param timeoutMs Time for a whole answer, in milliseconds. */
+   * @param timeoutMs Timeout of a whole response, in milliseconds. */
   static create(timeoutMs: number): PackedClient {
     return new PackedClient(timeoutMs);
   }
 
-  /** Asks a host; returns the unpacked body, or nothing where the host answered with another status than 200.
-   * @param address Where it answers other hosts, as ip:port.
-   * @param path Path with its query.
-   * @throws Error where it does not answer in time or the body is not msgpack. */
+  /** Sends a GET request to a host; returns the decoded body, or undefined if the status is not 200.
+   * @param address Address at which it serves other hosts, as ip:port.
+   * @param path Path and query.
+   * @throws Error if the response does not arrive in time or the body is not msgpack. */
   async ask(address: string, path: string): Promise<unknown> {
     const response = await request(`http://${address}${path}`, {
       dispatcher: this.agent,
@@ -39,9 +39,9 @@
   }
 }
 
-/** Answers another host's question.
- * @param response Where the answer is written.
- * @param value What is told. */
+/** Sends a msgpack response with status 200.
+ * @param response The HTTP response.
+ * @param value The body. */
 export function answerPacked(response: ServerResponse, value: unknown): void {
   response.writeHead(200, { "content-type": "application/msgpack" });
   response.end(pack(value));
--- a/src/peers/prefix_directory.ts
+++ b/src/peers/prefix_directory.ts
@@ -3,44 +3,45 @@
 import type { PrefixFact, PrefixIndex } from "../upstreams/prefix_index.ts";
 import type { DatagramSocket } from "./datagram_socket.ts";
 
-/** Hosts that are told which engines keep a part, so that one may be lost. */
-const KEEPERS = 2;
-/** Time in which facts are gathered before they are told, in milliseconds. */
-const GATHER_MS = 15;
-/** Facts in one datagram, so that it fits into one packet. */
-const MAX_FACTS = 80;
-/** Time for which a request waits for an answer, in milliseconds: some times the way there and back within a region, and
- * little beside the objectives of streams. */
-const ANSWER_WITHIN_MS = 15;
-/** Time for which the ring of hosts is used before it is built anew, in milliseconds: two rounds of gossip. */
-const RING_USED_FOR_MS = 400;
+/** Directory hosts per part, so that one of them may fail. */
+const REPLICAS = 2;
+/** Time for which facts are batched before they are sent, in milliseconds. */
+const BATCH_DELAY_MS = 15;
+/** Maximum number of facts in a datagram, so that it fits into one packet. */
+const MAX_FACTS_PER_DATAGRAM = 80;
+/** Timeout of a lookup for which a request waits, in milliseconds: several round-trip times within a region, and short
+ * compared with the latency objectives of streams. */
+const LOOKUP_TIMEOUT_MS = 15;
+/** Time for which the hash ring is cached before it is rebuilt, in milliseconds: two gossip rounds. */
+const RING_CACHE_MS = 400;
 
-/** What the directory needs. */
+/** Dependencies of the directory. */
 export interface PrefixDirectoryOptions {
   socket: DatagramSocket;
   prefixes: PrefixIndex;
   /** Gossip address of this host. */
   ownAddress: string;
-  /** Gossip addresses of the other hosts that are heard and stay. */
+  /** Returns the gossip addresses of the other hosts that are live and not draining. */
   getHosts: () => readonly string[];
 }
 
-/** A question that waits for its answers. */
-interface Waiting {
+/** A lookup that waits for responses. */
+interface PendingLookup {
   part: number;
-  answersLeft: number;
+  responsesLeft: number;
   resolve: () => void;
 }
 
-/** In a large fleet, finds out which engines keep a part of a prompt: two hosts, which follow from the part's name, are
- * told by whoever sends the part somewhere, and asked by whoever does not know. */
+/** Distributed directory of the engines that hold a part of a prompt, for large fleets. Consistent hashing assigns each
+ * part to two directory hosts; hosts that send the part to an engine publish that to them, and other hosts look it up
+ * there. */
 export class PrefixDirectory {
-  private readonly waiting = new Map<number, Waiting>();
-  private readonly gathered = new Map<string, PrefixFact[]>();
+  private readonly waiting = new Map<number, PendingLookup>();
+  private readonly batches = new Map<string, PrefixFact[]>();
   private ring = HostRing.create([]);
   private ringBuiltAt = -Infinity;
-  private timer: NodeJS.Timeout | undefined;
-  private asked = 0;
+  private batchTimer: NodeJS.Timeout | undefined;
+  private lastLookupId = 0;
 
   private constructor(private readonly options: PrefixDirectoryOptions) {
     const { socket, prefixes } = options;
@@ -48,98 +49,114 @@
       "prefix_facts",
       ({ facts }) => prefixes.learn(facts, readClock()),
     );
-    socket.handle("prefix_question", ({ number, part }, sender) => {
+    socket.handle("prefix_lookup_request", ({ lookupId, part }, sender) => {
       const sightings = prefixes.getSightings(part, readClock());
-      socket.send(sender, { type: "prefix_answer", number, sightings });
+      socket.send(sender, {
+        type: "prefix_lookup_response",
+        lookupId,
+        sightings,
+      });
     });
-    socket.handle("prefix_answer", ({ number, sightings }) => {
-      const question = this.waiting.get(number);
-      if (!question) return;
-      prefixes.recall(question.part, sightings, readClock());
-      question.answersLeft -= 1;
-      const isDone = sightings.length > 0 || question.answersLeft === 0;
-      if (isDone) question.resolve();
+    socket.handle("prefix_lookup_response", ({ lookupId, sightings }) => {
+      const lookup = this.waiting.get(lookupId);
+      if (!lookup) return;
+      prefixes.recall(lookup.part, sightings, readClock());
+      lookup.responsesLeft -= 1;
+      const isDone = sightings.length > 0 || lookup.responsesLeft === 0;
+      if (isDone) lookup.resolve();
     });
   }
 
   /** Creates a directory.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: PrefixDirectoryOptions): PrefixDirectory {
     return new PrefixDirectory(options);
   }
 
-  /** Tells the keepers of each part, soon.
-   * @param facts What is told. */
+  /** Publishes facts to the directory hosts of their parts, in batches.
+   * @param facts The facts. */
   tell(facts: readonly PrefixFact[]): void {
     for (const fact of facts) {
-      for (const keeper of this.getKeepers(fact[0])) {
-        const gathered = this.gathered.get(keeper) ?? [];
-        gathered.push(fact);
-        this.gathered.set(keeper, gathered);
+      for (const replica of this.getReplicas(fact[0])) {
+        const batch = this.batches.get(replica) ?? [];
+        batch.push(fact);
+        this.batches.set(replica, batch);
       }
     }
-    this.timer ??= setTimeout(() => this.sendGathered(), GATHER_MS);
+    this.batchTimer ??= setTimeout(() => this.sendBatches(), BATCH_DELAY_MS);
   }
 
-  /** Asks the keepers of a part, unless this host knows of it; resolves with the first answer, or without one when it is
-   * late. Nothing is returned where nobody is asked.
-   * @param part Short name of the part. */
+  /** Looks up a part at its directory hosts and records the result in the prefix index. The promise resolves on the
+   * first response with sightings, when all have responded, or on timeout. Returns undefined if no lookup is needed,
+   * because this host knows of an engine with the part, or possible, because the part has no other directory host.
+   * @param part Hash of the part's id. */
   learn(part: number): Promise<void> | undefined {
     if (this.options.prefixes.isKeptAnywhere(part, readClock())) {
       return undefined;
     }
-    const keepers = this.getKeepers(part);
-    return keepers.length === 0 ? undefined : this.ask(part, keepers);
+    const replicas = this.getReplicas(part);
+    return replicas.length === 0 ? undefined : this.sendLookup(part, replicas);
   }
 
-  /** Ends what waits. */
+  /** Cancels the pending batch and resolves pending lookups. */
   close(): void {
-    clearTimeout(this.timer);
-    for (const question of this.waiting.values()) question.resolve();
+    clearTimeout(this.batchTimer);
+    for (const lookup of this.waiting.values()) lookup.resolve();
   }
 
-  private async ask(part: number, keepers: readonly string[]): Promise<void> {
-    this.asked += 1;
-    const number = this.asked;
+  private async sendLookup(
+    part: number,
+    replicas: readonly string[],
+  ): Promise<void> {
+    this.lastLookupId += 1;
+    const lookupId = this.lastLookupId;
     let timer: NodeJS.Timeout | undefined;
     await new Promise<void>((resolve) => {
-      this.waiting.set(number, { part, answersLeft: keepers.length, resolve });
-      timer = setTimeout(resolve, ANSWER_WITHIN_MS);
-      for (const keeper of keepers) {
-        this.options.socket.send(keeper, {
-          type: "prefix_question",
-          number,
+      this.waiting.set(lookupId, {
+        part,
+        responsesLeft: replicas.length,
+        resolve,
+      });
+      timer = setTimeout(resolve, LOOKUP_TIMEOUT_MS);
+      for (const replica of replicas) {
+        this.options.socket.send(replica, {
+          type: "prefix_lookup_request",
+          lookupId,
           part,
         });
       }
     });
     clearTimeout(timer);
-    this.waiting.delete(number);
+    this.waiting.delete(lookupId);
   }
 
-  private sendGathered(): void {
-    this.timer = undefined;
-    for (const [keeper, facts] of this.gathered) {
-      for (let first = 0; first < facts.length; first += MAX_FACTS) {
-        this.options.socket.send(keeper, {
+  private sendBatches(): void {
+    this.batchTimer = undefined;
+    for (const [replica, facts] of this.batches) {
+      for (
+        let first = 0;
+        first < facts.length;
+        first += MAX_FACTS_PER_DATAGRAM
+      ) {
+        this.options.socket.send(replica, {
           type: "prefix_facts",
-          facts: facts.slice(first, first + MAX_FACTS),
+          facts: facts.slice(first, first + MAX_FACTS_PER_DATAGRAM),
         });
       }
     }
-    this.gathered.clear();
+    this.batches.clear();
   }
 
-  /** Gossip addresses of the hosts that keep the facts of a part, but for this one. */
-  private getKeepers(part: number): string[] {
+  /** Returns the gossip addresses of the directory hosts of a part, without this host. */
+  private getReplicas(part: number): string[] {
     const { ownAddress, getHosts } = this.options;
     const now = readClock();
-    if (now - this.ringBuiltAt > RING_USED_FOR_MS) {
+    if (now - this.ringBuiltAt > RING_CACHE_MS) {
       this.ring = HostRing.create([...getHosts(), ownAddress]);
       this.ringBuiltAt = now;
     }
-    return this.ring.getFollowing(part, KEEPERS).filter((keeper) =>
-      keeper !== ownAddress
+    return this.ring.getFollowing(part, REPLICAS).filter((replica) =>
+      replica !== ownAddress
     );
   }
 }
--- a/src/peers/publication_word.ts
+++ b/src/peers/publication_word.ts
@@ -1,9 +1,9 @@
-/** What a host says of the publication as it knows it. */
+/** Status of a host's copy of the publication. */
 export interface PublicationWord {
-  /** Digest of what it knows. */
+  /** Digest of the copy. */
   digest: number;
-  /** Highest revision that it has merged. */
+  /** Highest revision merged into the copy. */
   revision: number;
-  /** Age of what it knows, in milliseconds; -1 where it knows nothing. */
+  /** Age of the copy, in milliseconds; -1 if the host has none. */
   publicationAgeMs: number;
 }
--- a/src/peers/rumour_disseminator.ts
+++ b/src/peers/rumour_disseminator.ts
@@ -1,62 +1,65 @@
 import type { StopTimer, Timeline } from "../clock/timeline.ts";
 import { RumourQueue } from "../membership/rumour_queue.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
-import type { FleetTargets } from "./gossip_targets.ts";
+import type { GossipTargets } from "./gossip_targets.ts";
 import type { HostRumour } from "./host_rumour.ts";
 import type { HostTable } from "./host_table.ts";
-import type { SelfDescription } from "./local_host_state.ts";
+import type { LocalHostState } from "./local_host_state.ts";
 
-/** Rumours in one datagram. */
-const MAX_RUMOURS = 24;
-/** Time in which rumours are gathered before they are sent ahead of the next round, in milliseconds. */
-const GATHER_MS = 50;
+/** Maximum number of rumours in a datagram. */
+const MAX_RUMOURS_PER_DATAGRAM = 24;
+/** Time for which rumours are batched before they are sent ahead of the next round, in milliseconds. */
+const BATCH_DELAY_MS = 50;
 
-/** What the spread of rumours needs. */
-export interface RumourSpreadOptions {
+/** Dependencies of a rumour disseminator. */
+export interface RumourDisseminatorOptions {
   socket: DatagramPort;
   hosts: HostTable;
-  targets: FleetTargets;
-  self: SelfDescription;
+  targets: GossipTargets;
+  self: LocalHostState;
   timeline: Timeline;
 }
 
-/** Disseminates beliefs about hosts: piggybacked on every message, and sent ahead of the next round when they change. */
-export class RumourSpread {
+/** Disseminates membership updates: piggybacked on gossip messages and probe acknowledgements, and sent ahead of the
+ * next round after a change. */
+export class RumourDisseminator {
   private readonly queue = RumourQueue.create<number>();
   private stopTimer: StopTimer | undefined;
 
-  private constructor(private readonly options: RumourSpreadOptions) {}
+  private constructor(private readonly options: RumourDisseminatorOptions) {}
 
-  /** Creates a spread without rumours.
-   * @param options What it needs. */
-  static create(options: RumourSpreadOptions): RumourSpread {
-    return new RumourSpread(options);
+  /** Creates a disseminator without rumours.
+   * @param options Its dependencies. */
+  static create(options: RumourDisseminatorOptions): RumourDisseminator {
+    return new RumourDisseminator(options);
   }
 
   /** Queues the rumour about a host.
-   * @param name Short name of the host, which may be this one. */
+   * @param name Hash of the host's gossip address; the host may be this one. */
   add(name: number): void {
     this.queue.add(name);
   }
 
-  /** Takes the rumours that go on the next datagram. */
-  take(): HostRumour[] {
+  /** Returns the rumours for the next datagram. */
+  takeBatch(): HostRumour[] {
     const { hosts, self, timeline } = this.options;
-    return this.queue.take(MAX_RUMOURS, hosts.size).flatMap((name) => {
-      if (name === self.name) return self.getRumour();
-      const host = hosts.findByName(name);
-      return host ? hosts.describe(host, timeline.read()) : [];
-    });
+    return this.queue.take(MAX_RUMOURS_PER_DATAGRAM, hosts.size).flatMap(
+      (name) => {
+        if (name === self.name) return self.getRumour();
+        const host = hosts.findByName(name);
+        return host ? hosts.buildRumour(host, timeline.read()) : [];
+      },
+    );
   }
 
-  /** Sends rumours ahead of the next round; what comes up meanwhile is sent along. */
-  hurry(): void {
+  /** Sends rumours ahead of the next round in a large fleet; rumours queued until then are included. */
+  sendSoon(): void {
     const { hosts, targets, timeline } = this.options;
     if (!hosts.isLarge) return;
-    this.stopTimer ??= timeline.after(GATHER_MS, () => {
+    this.stopTimer ??= timeline.after(BATCH_DELAY_MS, () => {
       this.stopTimer = undefined;
       for (const address of targets.chooseLive(timeline.read())) {
-        this.send(address, this.take());
+        this.send(address, this.takeBatch());
       }
     });
   }
@@ -69,7 +72,7 @@
     this.options.socket.send(address, { type: "host_rumours", rumours });
   }
 
-  /** Ends what waits. */
+  /** Cancels the pending batch. */
   close(): void {
     this.stopTimer?.();
   }
--- a/src/peers/rumour_receiver.ts
+++ b/src/peers/rumour_receiver.ts
@@ -3,43 +3,44 @@
 import type { DatagramPort } from "./datagram_socket.ts";
 import type { HostRumour } from "./host_rumour.ts";
 import type { HostTable } from "./host_table.ts";
-import type { RumourSpread } from "./rumour_disseminator.ts";
-import type { SelfDescription } from "./local_host_state.ts";
+import type { RumourDisseminator } from "./rumour_disseminator.ts";
+import type { LocalHostState } from "./local_host_state.ts";
 
-/** Least time between two questions for the entries of unknown hosts, in milliseconds. */
-const QUESTION_INTERVAL_MS = 100;
+/** Minimum time between two requests for the entries of unknown hosts, in milliseconds. */
+const MIN_REQUEST_INTERVAL_MS = 100;
 
-/** What a receiver of rumours needs. */
+/** Dependencies of a rumour receiver. */
 export interface RumourReceiverOptions {
   logger: Logger;
   socket: DatagramPort;
   hosts: HostTable;
-  self: SelfDescription;
-  spread: RumourSpread;
+  self: LocalHostState;
+  disseminator: RumourDisseminator;
   timeline: Timeline;
 }
 
-/** Merges other hosts' rumours, refutes those of this host's failure, and asks for the entries of hosts it lacks. */
+/** Applies rumours from other hosts, refutes those that this host is suspect or failed, and requests the entries of
+ * unknown hosts. */
 export class RumourReceiver {
-  private questionedAt = -Infinity;
+  private requestedAt = -Infinity;
 
   private constructor(private readonly options: RumourReceiverOptions) {
     options.socket.handle(
       "host_rumours",
-      ({ rumours }, sender) => this.take(rumours, sender),
+      ({ rumours }, sender) => this.apply(rumours, sender),
     );
   }
 
   /** Creates a receiver.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: RumourReceiverOptions): RumourReceiver {
     return new RumourReceiver(options);
   }
 
-  /** Merges rumours.
+  /** Applies rumours.
    * @param rumours The rumours.
    * @param sender Gossip address of the host that sent them. */
-  take(rumours: readonly HostRumour[], sender: string): void {
+  apply(rumours: readonly HostRumour[], sender: string): void {
     const { hosts, self, timeline } = this.options;
     const now = timeline.read();
     const unknown: number[] = [];
@@ -49,21 +50,21 @@
         unknown.push(rumour.name);
       }
     }
-    if (unknown.length > 0) this.askForEntries(sender, unknown, now);
+    if (unknown.length > 0) this.requestEntries(sender, unknown, now);
   }
 
   private refute(rumour: HostRumour): void {
-    const { logger, self, spread } = this.options;
+    const { logger, self, disseminator } = this.options;
     if (!self.refute(rumour)) return;
     const { status, incarnation } = rumour;
     logger.info({ status, incarnation }, "own_failure_refuted");
-    spread.add(self.name);
-    spread.hurry();
+    disseminator.add(self.name);
+    disseminator.sendSoon();
   }
 
-  private askForEntries(sender: string, names: number[], now: number): void {
-    if (now - this.questionedAt < QUESTION_INTERVAL_MS) return;
-    this.questionedAt = now;
-    this.options.socket.send(sender, { type: "host_question", names });
+  private requestEntries(sender: string, names: number[], now: number): void {
+    if (now - this.requestedAt < MIN_REQUEST_INTERVAL_MS) return;
+    this.requestedAt = now;
+    this.options.socket.send(sender, { type: "host_entries_request", names });
   }
 }
--- a/src/peers/select_gossip_hosts.ts
+++ b/src/peers/select_gossip_hosts.ts
@@ -1,20 +1,21 @@
 import type { Random } from "../random/random.ts";
 import type { KnownHost } from "./known_host.ts";
 
-/** Chooses the hosts to gossip about: half of them the most recently seen, half picked at random.
- * @param hosts The hosts to choose from.
- * @param count Most hosts.
- * @param random Source of the choice. */
-export function chooseTold(
+/** Selects the hosts whose state is included in a gossip message: half of them the most recently seen, half drawn at
+ * random from the others.
+ * @param hosts The candidates.
+ * @param count Maximum number of hosts.
+ * @param random Random source. */
+export function selectGossipHosts(
   hosts: readonly KnownHost[],
   count: number,
   random: Random,
 ): KnownHost[] {
-  const sorted = [...hosts].sort((a, b) => b.heardAt - a.heardAt);
+  const sorted = [...hosts].sort((a, b) => b.lastSeenAt - a.lastSeenAt);
   const newest = sorted.splice(0, count / 2);
-  const left = count - newest.length;
-  const any = sorted.length <= left
+  const remaining = count - newest.length;
+  const drawn = sorted.length <= remaining
     ? sorted
-    : Array.from({ length: left }, () => random.pick(sorted));
-  return [...newest, ...new Set(any)];
+    : Array.from({ length: remaining }, () => random.pick(sorted));
+  return [...newest, ...new Set(drawn)];
 }
--- a/src/peers/told_schemas.ts
+++ b/src/peers/told_schemas.ts
@@ -1,12 +1,12 @@
-/** Lists of numbers in which hosts tell each other many facts of one kind. */
+/** Schemas of the number lists that are shared by several messages between hosts. */
 import { z } from "zod";
 
-/** Any numbers. Checked in one step, for such lists come by the thousand. */
+/** List of any numbers, checked in one step, since such lists are decoded by the thousand. */
 export const numberListSchema = z.custom<number[]>((list) =>
-  Array.isArray(list) && list.every((one) => typeof one === "number")
+  Array.isArray(list) && list.every((item) => typeof item === "number")
 );
 
-/** Requests that a host has running: each a `LoadCount`. */
+/** In-flight requests of a host: each a `LoadCount`. */
 export const loadCountsSchema = z.array(z.tuple([z.number(), z.number()]));
 
 /** Which engines were sent which parts of prompts: each a `PrefixFact`. */
@@ -14,7 +14,7 @@
   z.tuple([z.number(), z.number(), z.number()]),
 );
 
-/** Which engines keep a part: each a `PrefixSighting`. */
+/** Which engines hold a part: each a `PrefixSighting`. */
 export const prefixSightingsSchema = z.array(
   z.tuple([z.number(), z.number()]),
 );
--- a/tests/peers/age_questions_test.ts
+++ b/tests/peers/age_questions_test.ts
@@ -6,59 +6,63 @@
 import type { PublicationWord } from "../../src/peers/publication_word.ts";
 import { type TestSocket, withSockets } from "./with_sockets.ts";
 
-const WORD: PublicationWord = { digest: 5, revision: 6, publicationAgeMs: 321 };
+const STATUS: PublicationWord = {
+  digest: 5,
+  revision: 6,
+  publicationAgeMs: 321,
+};
 
-/** Starts the questions of a host that knows no other; by default it asks nobody. */
-function startQuestions(
+/** Starts a poller; by default it has no sources, so that it only responds. */
+function startPoller(
   { socket }: TestSocket,
   options: Partial<AgeQuestionsOptions>,
 ): AgeQuestions {
   return AgeQuestions.create({
     socket,
     getSources: () => [],
-    getWord: () => WORD,
+    getWord: () => STATUS,
     onWord: () => undefined,
     ...options,
   });
 }
 
-test("a host that asks another is told the age of what that knows, by its own clock", async (t) => {
-  await withSockets(2, async ([source, asking]) => {
+test("a poller receives the status of another host with the time of its own request", async (t) => {
+  await withSockets(2, async ([source, requester]) => {
     const startedAt = performance.now();
-    const answering = startQuestions(source!, {});
+    const responder = startPoller(source!, {});
     await new Promise<void>((resolve) => {
-      const questions = startQuestions(asking!, {
+      const poller = startPoller(requester!, {
         getSources: () => [source!.address],
-        onWord: (sender, word, askedAt) => {
+        onWord: (sender, status, requestedAt) => {
           t.is(sender, source!.address);
-          t.deepEqual(word, WORD);
-          t.true(askedAt >= startedAt && askedAt <= performance.now());
-          questions.close();
+          t.deepEqual(status, STATUS);
+          t.true(requestedAt >= startedAt && requestedAt <= performance.now());
+          poller.close();
           resolve();
         },
       });
     });
-    answering.close();
+    responder.close();
   });
 });
 
-test("an answer to a question that this host's clock has not reached is left out", async (t) => {
-  await withSockets(2, async ([forger, asking]) => {
-    const taken: number[] = [];
-    const questions = startQuestions(asking!, {
-      onWord: (_sender, _word, askedAt) => taken.push(askedAt),
+test("a response to a request time in the future of the local clock is ignored", async (t) => {
+  await withSockets(2, async ([sender, requester]) => {
+    const accepted: number[] = [];
+    const poller = startPoller(requester!, {
+      onWord: (_sender, _status, requestedAt) => accepted.push(requestedAt),
     });
-    const later = performance.now() + 1e9;
-    for (const askedAt of [later, 1]) {
-      const answer = {
-        type: "age_answer",
-        askedAt,
-        word: WORD,
+    const future = performance.now() + 1e9;
+    for (const requestedAt of [future, 1]) {
+      const response = {
+        type: "publication_status_response",
+        requestedAt,
+        status: STATUS,
       } as const;
-      forger!.socket.send(asking!.address, answer);
+      sender!.socket.send(requester!.address, response);
     }
-    while (taken.length === 0) await new Promise(setImmediate);
-    t.deepEqual(taken, [1]);
-    questions.close();
+    while (accepted.length === 0) await new Promise(setImmediate);
+    t.deepEqual(accepted, [1]);
+    poller.close();
   });
 });
--- a/tests/peers/build_entry.ts
+++ b/tests/peers/build_entry.ts
@@ -1,7 +1,7 @@
 import type { PeerEntry } from "../../src/peers/gossip_schema.ts";
 
-/** Builds what a host tells of itself.
- * @param changes What differs from a host that is ready. */
+/** Builds the entry of a host.
+ * @param changes Fields that differ from those of a ready host. */
 export function buildEntry(changes: Partial<PeerEntry> = {}): PeerEntry {
   return {
     id: "g",
--- a/tests/peers/build_gossip.ts
+++ b/tests/peers/build_gossip.ts
@@ -1,7 +1,7 @@
 import type { DatagramOf } from "../../src/peers/datagram.ts";
 import { buildEntry } from "./build_entry.ts";
 
-/** Builds what a host tells another of itself and of a third. */
+/** Builds a gossip datagram with a value for every field. */
 export function buildGossip(): DatagramOf<"gossip"> {
   return {
     type: "gossip",
@@ -10,8 +10,8 @@
       sentAt: 12.5,
       echo: 3.25,
       facts: [[1, 2, 300]],
-      others: [{ entry: buildEntry({ id: "g-2" }), agoMs: 40 }],
-      probe: 17,
+      relayedEntries: [{ entry: buildEntry({ id: "g-2" }), agoMs: 40 }],
+      probeNonce: 17,
       hostsDigest: 99,
       rumours: [{
         name: 5,
@@ -20,7 +20,7 @@
         phase: "draining",
         agoMs: 30,
       }],
-      reports: [{
+      loadReports: [{
         name: 6,
         incarnation: 1_700_000_000_001,
         sequence: 44,
--- a/tests/peers/datagram_codec_test.ts
+++ b/tests/peers/datagram_codec_test.ts
@@ -9,25 +9,32 @@
 
 const DATAGRAMS: Record<string, Datagram> = {
   gossip: buildGossip(),
-  question: { type: "age_question", askedAt: 99.5 },
-  answer: {
-    type: "age_answer",
-    askedAt: 99.5,
-    word: { digest: 5, revision: 6, publicationAgeMs: 700 },
+  publication_status_request: {
+    type: "publication_status_request",
+    requestedAt: 99.5,
   },
-  "facts of prompts": {
+  publication_status_response: {
+    type: "publication_status_response",
+    requestedAt: 99.5,
+    status: { digest: 5, revision: 6, publicationAgeMs: 700 },
+  },
+  "prefix facts": {
     type: "prefix_facts",
     facts: [[1, 2, 3], [4, 5, 0]],
   },
-  "question for a part": { type: "prefix_question", number: 3, part: 77 },
-  "answer for a part": {
-    type: "prefix_answer",
-    number: 3,
+  "prefix lookup request": {
+    type: "prefix_lookup_request",
+    lookupId: 3,
+    part: 77,
+  },
+  "prefix lookup response": {
+    type: "prefix_lookup_response",
+    lookupId: 3,
     sightings: [[9, 120]],
   },
-  "answer to a probe": {
-    type: "probe_answer",
-    number: 8,
+  "probe acknowledgement": {
+    type: "probe_ack",
+    nonce: 8,
     target: "127.0.0.1:5",
     rumours: [{
       name: 4,
@@ -37,9 +44,9 @@
       agoMs: 900,
     }],
   },
-  "request for a probe": {
-    type: "probe_request",
-    number: 8,
+  "indirect probe request": {
+    type: "indirect_probe_request",
+    nonce: 8,
     target: "127.0.0.1:5",
   },
   rumours: {
@@ -52,8 +59,8 @@
       agoMs: 0,
     }],
   },
-  "question for hosts": { type: "host_question", names: [1, 2] },
-  "words on crashes": {
+  "host entries request": { type: "host_entries_request", names: [1, 2] },
+  "crash reports": {
     type: "crash_words",
     words: [{
       fingerprint: 2 ** 48 - 1,
@@ -65,26 +72,26 @@
 };
 
 for (const [name, datagram] of Object.entries(DATAGRAMS)) {
-  test(`a datagram comes out as it went in: ${name}`, (t) => {
+  test(`a datagram survives encoding and decoding: ${name}`, (t) => {
     t.deepEqual(decodeDatagram(encodeDatagram(datagram)), datagram);
   });
 }
 
 const MALFORMED: Record<string, Buffer> = {
-  "no msgpack": Buffer.from([0xc1]),
-  "no list": pack("text"),
+  "invalid msgpack": Buffer.from([0xc1]),
+  "not a list": pack("text"),
   "an unknown type": pack([99, 1]),
-  "a rumour of an unknown status": pack([9, [4, 12, 3, 1, 0]]),
-  "a rumour that ends too early": pack([9, [4, 12, 1, 1]]),
-  "an answer to a probe without its target": pack([7, 8, 9, []]),
-  "a question without a time": pack([1]),
-  "an answer with text for a digest": pack([2, 1, "x", 2, 3]),
-  "a crash without points": pack([6, [[1, 2, [[3]], []]]]),
+  "a rumour with an unknown status": pack([9, [4, 12, 3, 1, 0]]),
+  "a truncated rumour": pack([9, [4, 12, 1, 1]]),
+  "a probe acknowledgement without a target": pack([7, 8, 9, []]),
+  "a publication status request without a time": pack([1]),
+  "a publication status response with a string digest": pack([2, 1, "x", 2, 3]),
+  "a crash report without points": pack([6, [[1, 2, [[3]], []]]]),
   "gossip without a sender": pack([0, [1, 2, 3]]),
 };
 
 for (const [name, bytes] of Object.entries(MALFORMED)) {
-  test(`a malformed datagram is left out: ${name}`, (t) => {
+  test(`a malformed datagram is rejected: ${name}`, (t) => {
     t.is(decodeDatagram(bytes), undefined);
   });
 }
--- a/tests/peers/datagram_fuzz_test.ts
+++ b/tests/peers/datagram_fuzz_test.ts
@@ -8,34 +8,34 @@
 import { buildGossip } from "./build_gossip.ts";
 
 const GOSSIP = encodeDatagram(buildGossip());
-const WORDS = encodeDatagram({
+const CRASH_WORDS = encodeDatagram({
   type: "crash_words",
   words: [{ fingerprint: 5, agoMs: 1, crashes: [[7, 2]], excused: [] }],
 });
 
-/** Bytes that no host of the fleet sends: any, any packed value, and datagrams that were cut or changed on the way. */
-const spoiled = fc.oneof(
+/** Bytes that no host of the fleet sends: random bytes, random msgpack values, and truncated or corrupted datagrams. */
+const malformed = fc.oneof(
   fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes)),
   fc.jsonValue({ maxDepth: 5 }).map((value) => pack(value)),
   fc.tuple(fc.integer({ min: 0, max: 7 }), fc.jsonValue({ maxDepth: 4 })).map(
     ([type, body]) => pack([type, body]),
   ),
-  fc.tuple(fc.constantFrom(GOSSIP, WORDS), fc.nat({ max: 200 })).map((
-    [whole, length],
-  ) => whole.subarray(0, length)),
+  fc.tuple(fc.constantFrom(GOSSIP, CRASH_WORDS), fc.nat({ max: 200 })).map((
+    [datagram, length],
+  ) => datagram.subarray(0, length)),
   fc.tuple(
-    fc.constantFrom(GOSSIP, WORDS),
+    fc.constantFrom(GOSSIP, CRASH_WORDS),
     fc.nat({ max: 200 }),
     fc.nat({ max: 255 }),
-  ).map(([whole, index, byte]) => {
-    const changed = Buffer.from(whole);
-    changed[index % changed.length] = byte;
-    return changed;
+  ).map(([datagram, index, byte]) => {
+    const corrupted = Buffer.from(datagram);
+    corrupted[index % corrupted.length] = byte;
+    return corrupted;
   }),
 );
 
-test("no bytes make the codec throw, and what it reads can be written again", (t) => {
-  const property = fc.property(spoiled, (bytes) => {
+test("the codec never throws, and a decoded datagram can be encoded and decoded again", (t) => {
+  const property = fc.property(malformed, (bytes) => {
     const datagram = decodeDatagram(bytes);
     return datagram === undefined ||
       decodeDatagram(encodeDatagram(datagram)) !== undefined;
--- a/tests/peers/host_table_test.ts
+++ b/tests/peers/host_table_test.ts
@@ -5,15 +5,16 @@
 
 const OWN = "127.0.0.1:1";
 const OTHER = "127.0.0.1:2";
-/** Longer than any host of a small fleet is taken for live without word of it, in milliseconds. */
-const LONG_MS = 20_000;
+/** Longer than any host of a small fleet stays live without contact, in milliseconds. */
+const BEYOND_TIMEOUTS_MS = 20_000;
+
 function createTable(now: number): HostTable {
   const table = HostTable.create(OWN);
   table.hear(buildEntry({ id: "g-2", gossipAddress: OTHER }), 1, now);
   return table;
 }
 
-/** A table of a large fleet in which all were just heard. */
+/** Creates a table of a large fleet in which all hosts were just seen. */
 function createLargeTable(now: number): HostTable {
   const table = createTable(now);
   for (let index = 0; index < SMALL_FLEET; index++) {
@@ -36,32 +37,32 @@
   return table.isLive(table.getHost(OTHER)!, now);
 }
 
-test("a host of a small fleet is live while it was heard lately", (t) => {
+test("a host of a small fleet is live while its last contact is recent", (t) => {
   const table = createTable(0);
   t.is(table.getLive(0).length, 1);
-  t.is(table.getLive(LONG_MS).length, 0);
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, 0);
 });
 
-test("a silent host of a large fleet stays live until its suspicion ends", (t) => {
+test("a host of a large fleet without contact stays live until its suspicion expires", (t) => {
   const table = createLargeTable(0);
-  table.noteHeard("127.0.1.1:1", LONG_MS);
-  t.true(isLive(table, LONG_MS));
+  table.recordContact("127.0.1.1:1", BEYOND_TIMEOUTS_MS);
+  t.true(isLive(table, BEYOND_TIMEOUTS_MS));
   const host = table.getHost(OTHER)!;
-  table.suspect(host, LONG_MS);
-  t.true(isLive(table, LONG_MS));
-  table.expireSuspicion(host, LONG_MS);
-  t.false(isLive(table, LONG_MS));
-  t.is(table.getLive(LONG_MS).length, SMALL_FLEET);
+  table.suspect(host, BEYOND_TIMEOUTS_MS);
+  t.true(isLive(table, BEYOND_TIMEOUTS_MS));
+  table.expireSuspicion(host, BEYOND_TIMEOUTS_MS);
+  t.false(isLive(table, BEYOND_TIMEOUTS_MS));
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET);
 });
 
-test("a host that hears nobody takes no host of a large fleet for live", (t) => {
+test("an isolated host of a large fleet considers no host live", (t) => {
   const table = createLargeTable(0);
-  t.is(table.getLive(LONG_MS).length, 0);
-  table.noteHeard("127.0.1.1:1", LONG_MS);
-  t.is(table.getLive(LONG_MS).length, SMALL_FLEET + 1);
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, 0);
+  table.recordContact("127.0.1.1:1", BEYOND_TIMEOUTS_MS);
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET + 1);
 });
 
-test("a suspicion is refuted by a greater incarnation, not by word of the suspected one", (t) => {
+test("a suspicion is refuted by a higher incarnation, not by a message with the suspected one", (t) => {
   const table = createLargeTable(0);
   table.applyRumour(buildRumour(table, "suspect"), 0);
   const entry = buildEntry({ id: "g-2", gossipAddress: OTHER, sequence: 2 });
@@ -73,14 +74,14 @@
   t.is(table.getHost(OTHER)?.status, "alive");
 });
 
-test("a rumour carries when its status began, so that all hosts end a suspicion together", (t) => {
+test("a rumour carries the age of its status, so that a suspicion expires on all hosts at once", (t) => {
   const table = createLargeTable(0);
   const rumour = buildRumour(table, "suspect");
   table.applyRumour({ ...rumour, agoMs: 300 }, 500);
   t.is(table.getHost(OTHER)?.statusSince, 200);
 });
 
-test("the end of a suspicion that was refuted changes nothing", (t) => {
+test("the expiry of a refuted suspicion has no effect", (t) => {
   const table = createLargeTable(0);
   const host = table.getHost(OTHER)!;
   table.suspect(host, 100);
@@ -89,28 +90,28 @@
   t.is(host.status, "alive");
 });
 
-test("a rumour of an unknown host is left to the caller", (t) => {
+test("a rumour about an unknown host is reported to the caller and not applied", (t) => {
   const table = createTable(0);
   const rumour = { ...buildRumour(table, "alive"), name: 1234 };
   t.false(table.applyRumour(rumour, 0));
   t.is(table.getAll().length, 1);
 });
 
-test("a rumour brings the phase of its incarnation", (t) => {
+test("a rumour updates the phase with the incarnation", (t) => {
   const table = createTable(0);
   const rumour = buildRumour(table, "alive", 2);
   table.applyRumour({ ...rumour, phase: "draining" }, 0);
   t.is(table.getHost(OTHER)?.entry.phase, "draining");
 });
 
-test("a host that has failed for another is suspected first", (t) => {
+test("a host that has failed in a pulled host table is only suspected", (t) => {
   const table = createLargeTable(0);
   const { entry } = table.getHost(OTHER)!;
   table.mergeStates([{ entry, status: "failed", agoMs: 0 }], 1);
   t.is(table.getHost(OTHER)?.status, "suspect");
 });
 
-test("digests are equal where the same starts of hosts are taken for live, seen from any of them", (t) => {
+test("digests are equal on hosts that consider the same incarnations live", (t) => {
   const table = createTable(0);
   const other = HostTable.create(OTHER);
   other.hear(buildEntry({ gossipAddress: OWN, incarnation: 7 }), 1, 0);
@@ -118,25 +119,25 @@
   t.not(table.computeDigest(8), other.computeDigest(1));
 });
 
-test("another's older word neither makes a host look silent nor outdates its entry", (t) => {
+test("a relayed entry lowers neither the last contact nor the sequence number of a host", (t) => {
   const table = createTable(0);
-  table.noteHeard(OTHER, 900);
+  table.recordContact(OTHER, 900);
   const entry = buildEntry({ id: "g-2", gossipAddress: OTHER, sequence: 5 });
-  t.true(table.hearOf({ ...entry, revision: 77 }, 400));
+  t.true(table.applyRelayedEntry({ ...entry, revision: 77 }, 400));
   const host = table.getHost(OTHER);
-  t.is(host?.heardAt, 900);
+  t.is(host?.lastSeenAt, 900);
   t.is(host?.entry.revision, 77);
-  t.false(table.hearOf({ ...entry, sequence: 4 }, 1_000));
+  t.false(table.applyRelayedEntry({ ...entry, sequence: 4 }, 1_000));
 });
 
-test("a report updates the requests of the start that it names", (t) => {
+test("a load report updates the loads of its incarnation only", (t) => {
   const table = createTable(0);
   const { name } = table.getHost(OTHER)!;
   const report = { name, incarnation: 1, sequence: 9, agoMs: 5 };
-  t.truthy(table.hearReport({ ...report, loads: [[7, 3]] }, 100));
+  t.truthy(table.applyLoadReport({ ...report, loads: [[7, 3]] }, 100));
   t.deepEqual(table.getHost(OTHER)?.entry.loads, [[7, 3]]);
-  t.is(table.getHost(OTHER)?.heardAt, 95);
-  t.is(table.hearReport({ ...report, loads: [] }, 200), undefined);
+  t.is(table.getHost(OTHER)?.lastSeenAt, 95);
+  t.is(table.applyLoadReport({ ...report, loads: [] }, 200), undefined);
   const later = { ...report, sequence: 10, loads: [] };
-  t.is(table.hearReport({ ...later, incarnation: 2 }, 200), undefined);
+  t.is(table.applyLoadReport({ ...later, incarnation: 2 }, 200), undefined);
 });
--- a/tests/peers/prefix_directory_test.ts
+++ b/tests/peers/prefix_directory_test.ts
@@ -29,32 +29,35 @@
   });
 }
 
-function countKnowing(hosts: readonly TestHost[]): number {
+function countHostsKnowingPart(hosts: readonly TestHost[]): number {
   const now = performance.now();
   return hosts.filter(({ prefixes }) => prefixes.isKept(PART, ENGINE, now))
     .length;
 }
 
-test("two hosts are told of a part, and any other finds out where it is kept by asking", async (t) => {
+test("facts are published to at most two hosts, and every other host finds them by a lookup", async (t) => {
   await withSockets(HOSTS, async (sockets) => {
     const hosts = startHosts(sockets);
-    const [teller] = hosts;
-    teller!.directory.tell([[PART, ENGINE, 100]]);
+    const [publisher] = hosts;
+    publisher!.directory.tell([[PART, ENGINE, 100]]);
     const others = hosts.slice(1);
-    await waitUntil("a keeper knows", () => countKnowing(others) > 0);
-    t.true(countKnowing(others) <= 2);
+    await waitUntil(
+      "a directory host knows the part",
+      () => countHostsKnowingPart(others) > 0,
+    );
+    t.true(countHostsKnowingPart(others) <= 2);
     for (const { directory, prefixes } of others) {
-      await waitUntil("the host knows", async () => {
+      await waitUntil("the host knows the part", async () => {
         await directory.learn(PART);
         return prefixes.isKept(PART, ENGINE, performance.now());
       });
     }
-    t.is(countKnowing(others), HOSTS - 1);
+    t.is(countHostsKnowingPart(others), HOSTS - 1);
     for (const { directory } of hosts) directory.close();
   });
 });
 
-test("a host that knows of a part, or is alone, asks nobody", async (t) => {
+test("a host that knows the part or has no other hosts sends no lookup", async (t) => {
   await withSockets(1, async (sockets) => {
     const [host] = startHosts(sockets);
     t.is(host!.directory.learn(PART), undefined);
@@ -65,17 +68,17 @@
   });
 });
 
-test("a question that nobody answers ends", async (t) => {
+test("a lookup without a response times out", async (t) => {
   await withSockets(2, async (sockets) => {
-    const [asking] = startHosts(sockets.slice(0, 1));
+    const [requester] = startHosts(sockets.slice(0, 1));
     const directory = PrefixDirectory.create({
       socket: sockets[0]!.socket,
-      prefixes: asking!.prefixes,
+      prefixes: requester!.prefixes,
       ownAddress: sockets[0]!.address,
       getHosts: () => [sockets[1]!.address],
     });
     await directory.learn(PART);
-    t.false(asking!.prefixes.isKeptAnywhere(PART, performance.now()));
+    t.false(requester!.prefixes.isKeptAnywhere(PART, performance.now()));
     directory.close();
   });
 });
--- a/tests/peers/virtual_fleet.ts
+++ b/tests/peers/virtual_fleet.ts
@@ -16,15 +16,15 @@
 
 const SILENT = pino({ level: "silent" });
 
-/** Least and most time of a datagram on its way, in milliseconds. */
-const DELIVERY_MS = [1, 20] as const;
+/** Minimum and maximum delivery delay of a datagram, in milliseconds. */
+const DELIVERY_DELAY_MS = [1, 20] as const;
 
-/** Time in which a host reads all hosts that another knows, in milliseconds. */
-const HOSTS_READ_MS = 20;
-/** Halls over which the hosts are spread. */
+/** Time that a read of another host's table takes, in milliseconds. */
+const HOSTS_RESPONSE_MS = 20;
+/** Number of halls among which the hosts are distributed. */
 const HALLS = 5;
 
-/** What a fleet in virtual time is made of. */
+/** Options of a fleet in virtual time. */
 export interface VirtualFleetOptions {
   seed: number;
   /** Number of hosts. */
@@ -33,7 +33,7 @@
   loss: number;
   /** Time within which the hosts start, in milliseconds. */
   startWithinMs: number;
-  /** Whether bytes are counted, which takes most of a run's time. */
+  /** Whether sent bytes are counted, which takes most of a run's time. */
   countsBytes?: boolean;
 }
 
@@ -43,27 +43,27 @@
   id: string;
   gossip: Gossip;
   handlers: Map<DatagramType, AnyHandler>;
-  /** Hosts in other parts do not reach this one. */
+  /** Network partition of the host; hosts in other partitions cannot reach it. */
   part: number;
   sentBytes: number;
   close: () => void;
 }
 
-/** Hosts that tell each other of themselves, with the timers and datagrams of all in one virtual time. */
+/** Simulated fleet of hosts that gossip, whose timers and datagrams run in one virtual timeline. */
 export class VirtualFleet {
   readonly timeline = VirtualTimeline.create();
   private readonly hosts = new Map<string, VirtualHost>();
-  /** By address of a host that does not run, what it would have done meanwhile. */
-  private readonly frozen = new Map<string, (() => void)[]>();
-  private readonly numbers = new Map<string, number>();
+  /** Deferred actions of the paused hosts, by address. */
+  private readonly deferred = new Map<string, (() => void)[]>();
+  private readonly indexByAddress = new Map<string, number>();
   private readonly random: Random;
 
   private constructor(private readonly options: VirtualFleetOptions) {
     this.random = Random.create(options.seed);
   }
 
-  /** Creates a fleet whose hosts start at random moments and know only the first.
-   * @param options What it is made of. */
+  /** Creates a fleet whose hosts start at random times with the first host as their only seed.
+   * @param options Its options. */
   static create(options: VirtualFleetOptions): VirtualFleet {
     const fleet = new VirtualFleet(options);
     for (let index = 0; index < options.size; index++) {
@@ -73,16 +73,16 @@
     return fleet;
   }
 
-  /** Ends a host.
-   * @param index Its number. */
+  /** Stops a host.
+   * @param index Its index. */
   stopHost(index: number): void {
     const address = getAddress(index);
     this.hosts.get(address)!.close();
     this.hosts.delete(address);
   }
 
-  /** Ids of the hosts that any host takes for live. */
-  getNamed(): Set<string> {
+  /** Returns the ids of the hosts that any host considers live. */
+  getLiveIds(): Set<string> {
     const now = this.timeline.read();
     return new Set(
       [...this.hosts.values()].flatMap(({ gossip }) =>
@@ -91,7 +91,7 @@
     );
   }
 
-  /** Hosts that each host is missing at this moment, as `observer lacks host`. */
+  /** Returns the running hosts that each host does not consider live, as `observer lacks host`. */
   findMissing(): string[] {
     const now = this.timeline.read();
     return [...this.hosts.entries()].flatMap(([address, { id, gossip }]) => {
@@ -105,8 +105,8 @@
   }
 
   /** Starts a host.
-   * @param index Its number.
-   * @param start Its first incarnation, where that does not follow from the time. */
+   * @param index Its index.
+   * @param start Its first incarnation, if that does not follow from the virtual time. */
   startHost(index: number, start: { incarnation?: number } = {}): void {
     const { random } = this;
     const address = getAddress(index);
@@ -118,7 +118,7 @@
       send: (to, datagram) => this.deliver(address, to, datagram),
     };
     const id = `g-${index}`;
-    const own = buildEntry({
+    const entry = buildEntry({
       id,
       gossipAddress: address,
       callerAddress: address,
@@ -130,7 +130,7 @@
       address,
       hall: getHall(index),
       getSeeds: () => [getAddress(0)],
-      describeSelf: () => own,
+      describeSelf: () => entry,
       takeFacts: () => [],
       hasFacts: () => false,
       onFacts: () => undefined,
@@ -142,18 +142,22 @@
       timeline,
       random: random.fork(),
     });
-    const questions = AgeQuestions.create({
+    const poller = AgeQuestions.create({
       socket,
-      getSources: () => this.find(gossip, this.order(gossip, id).getSources()),
+      getSources: () =>
+        this.findAddresses(
+          gossip,
+          this.buildWatchOrder(gossip, id).getSources(),
+        ),
       getWord: () => ({ digest: 1, revision: 1, publicationAgeMs: 10 }),
       onWord: () => undefined,
       timeline,
     });
     const close = () => {
       gossip.close();
-      questions.close();
+      poller.close();
     };
-    this.numbers.set(address, index);
+    this.indexByAddress.set(address, index);
     this.hosts.set(address, {
       id,
       gossip,
@@ -164,32 +168,32 @@
     });
   }
 
-  /** Parts hosts from the others, or joins all again.
-   * @param isApart Whether a host, by its number, is in the other part. */
-  part(isApart: (index: number) => boolean): void {
+  /** Partitions hosts from the others, or heals the partition.
+   * @param isSeparated Whether the host of an index is in the second partition. */
+  part(isSeparated: (index: number) => boolean): void {
     for (const [address, host] of this.hosts) {
-      host.part = isApart(this.numbers.get(address)!) ? 1 : 0;
+      host.part = isSeparated(this.indexByAddress.get(address)!) ? 1 : 0;
     }
   }
 
-  /** Lets a host neither send, hear nor run until it is thawed.
-   * @param index Its number. */
-  freezeHost(index: number): void {
-    this.frozen.set(getAddress(index), []);
+  /** Pauses a host: it neither sends, receives nor runs timers until it is resumed.
+   * @param index Its index. */
+  pauseHost(index: number): void {
+    this.deferred.set(getAddress(index), []);
   }
 
-  /** Lets a frozen host run what it missed, and go on.
-   * @param index Its number. */
-  thawHost(index: number): void {
+  /** Resumes a paused host and runs its deferred actions.
+   * @param index Its index. */
+  resumeHost(index: number): void {
     const address = getAddress(index);
-    const missed = this.frozen.get(address) ?? [];
-    this.frozen.delete(address);
-    for (const action of missed) action();
+    const actions = this.deferred.get(address) ?? [];
+    this.deferred.delete(address);
+    for (const action of actions) action();
   }
 
-  /** Whether any other host takes a host for live.
-   * @param index Its number. */
-  getNamedByOthers(index: number): boolean {
+  /** Whether any other host considers a host live.
+   * @param index Its index. */
+  isLiveForOthers(index: number): boolean {
     const now = this.timeline.read();
     return [...this.hosts].some(([address, { gossip }]) =>
       address !== getAddress(index) &&
@@ -197,7 +201,7 @@
     );
   }
 
-  /** Number of hosts that each host takes for live, without itself. */
+  /** Returns the number of other hosts that each host considers live. */
   getLiveCounts(): number[] {
     const now = this.timeline.read();
     return [...this.hosts.values()].map(({ gossip }) =>
@@ -205,19 +209,19 @@
     );
   }
 
-  /** Bytes that each host has sent so far, when they are written as the product writes them. */
+  /** Returns the bytes that each host has sent so far, as encoded by the production codec. */
   getSentBytes(): number[] {
     return [...this.hosts.values()].map(({ sentBytes }) => sentBytes);
   }
 
   private readHosts(
     reader: string,
-    told: string,
+    target: string,
     done: Parameters<ReadHosts>[1],
   ): void {
-    this.timeline.after(HOSTS_READ_MS, () => {
-      const host = this.hosts.get(told);
-      if (!host || !this.isConnected(reader, told)) return done(undefined);
+    this.timeline.after(HOSTS_RESPONSE_MS, () => {
+      const host = this.hosts.get(target);
+      if (!host || !this.isConnected(reader, target)) return done(undefined);
       done(structuredClone(host.gossip.getHostStates()));
     });
   }
@@ -226,12 +230,12 @@
     return this.hosts.get(from)?.part === this.hosts.get(to)?.part;
   }
 
-  private order(gossip: Gossip, id: string): WatchOrder {
+  private buildWatchOrder(gossip: Gossip, id: string): WatchOrder {
     const live = gossip.hosts.getLive(this.timeline.read());
     return WatchOrder.create(id, live.map(({ entry }) => entry.id));
   }
 
-  private find(gossip: Gossip, ids: readonly string[]): string[] {
+  private findAddresses(gossip: Gossip, ids: readonly string[]): string[] {
     if (!gossip.isLargeFleet) return [];
     const live = gossip.hosts.getLive(this.timeline.read());
     return live.filter(({ entry }) => ids.includes(entry.id)).map(({ entry }) =>
@@ -245,35 +249,41 @@
       sender.sentBytes += encodeDatagram(datagram).length;
     }
     if (this.random.fraction() < this.options.loss) return;
-    const delayMs = this.random.integer(...DELIVERY_MS);
+    const delayMs = this.random.integer(...DELIVERY_DELAY_MS);
     const copy = copyDatagram(datagram);
     this.timeline.after(delayMs, () => {
       if (!this.isConnected(from, to)) return;
       const host = this.hosts.get(to);
-      this.run(to, () => host?.handlers.get(datagram.type)?.(copy, from));
+      this.runUnlessPaused(
+        to,
+        () => host?.handlers.get(datagram.type)?.(copy, from),
+      );
     });
   }
 
-  /** Runs an action of a host, once it is not frozen. */
-  private run(address: string, action: () => void): void {
-    const missed = this.frozen.get(address);
-    if (missed) missed.push(action);
+  /** Runs an action of a host, or defers it while the host is paused. */
+  private runUnlessPaused(address: string, action: () => void): void {
+    const actions = this.deferred.get(address);
+    if (actions) actions.push(action);
     else action();
   }
 
-  /** The timeline of a host, whose timers wait while it is frozen. */
+  /** Creates the timeline of a host, whose timers are deferred while it is paused. */
   private createTimeline(address: string): Timeline {
     const { timeline } = this;
-    const hold = (action: () => void) => () => this.run(address, action);
+    const deferWhilePaused = (action: () => void) => () =>
+      this.runUnlessPaused(address, action);
     return {
       read: () => timeline.read(),
-      every: (intervalMs, action) => timeline.every(intervalMs, hold(action)),
-      after: (delayMs, action) => timeline.after(delayMs, hold(action)),
+      every: (intervalMs, action) =>
+        timeline.every(intervalMs, deferWhilePaused(action)),
+      after: (delayMs, action) =>
+        timeline.after(delayMs, deferWhilePaused(action)),
     };
   }
 }
 
-/** Copies the entries, which tables change; all else in a datagram is left as it is. */
+/** Copies the sender's entry, which host tables modify; the rest of the datagram is shared. */
 function copyDatagram(datagram: Datagram): Datagram {
   if (datagram.type !== "gossip") return datagram;
   const { message } = datagram;
--- a/tests/peers/with_sockets.ts
+++ b/tests/peers/with_sockets.ts
@@ -2,15 +2,15 @@
 import { DatagramSocket } from "../../src/peers/datagram_socket.ts";
 import { getFreePort } from "../../tools/free_port.ts";
 
-/** A socket of a test with its address. */
+/** A socket for tests and its address. */
 export interface TestSocket {
   socket: DatagramSocket;
   address: string;
 }
 
-/** Opens sockets on ports of their own, runs a test body on them and closes them.
+/** Opens sockets on free ports, passes them to a test body and closes them.
  * @param count Number of sockets.
- * @param body The test. */
+ * @param body The test body. */
 export async function withSockets(
   count: number,
   body: (sockets: TestSocket[]) => Promise<void>,
