--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -10,27 +10,27 @@
 import type { CallerHeaders, PromptPart } from "./caller_headers.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** Least urgent class of an engine's queue. */
-const LEAST_URGENT = 9;
-/** Classes that a customer's priority is worth against a route's, whose priorities are 0 to 2. */
+/** Least urgent priority class of an engine's queue; 0 is the most urgent. */
+const LEAST_URGENT_CLASS = 9;
+/** Priority classes per step of customer priority, so that it outranks the route priorities, which are 0 to 2. */
 const CLASSES_PER_CUSTOMER_PRIORITY = 3;
 
-/** What the decision on a request is made from. */
+/** The input for admitting a request. */
 export interface AdmissionOptions {
   routes: RouteTable | undefined;
   headers: CallerHeaders;
   method: string;
   path: string;
   receivedAt: number;
-  /** Whether what is known of keys is new enough to honour them. */
+  /** Whether the known configuration is recent enough to accept keys. */
   mayHonourKeys: boolean;
 }
 
-/** A call but for its body, and what follows from that, which is read once the call is allowed. */
+/** An admitted call without its body and fingerprint: the body is read only after admission. */
 export type AdmittedCall = Omit<RoutedCall, "body" | "fingerprint">;
 
-/** Matches a request with its route and customer, or says why it is refused.
- * @param options What the decision is made from. */
+/** Matches a request with its route and customer, or returns why it is refused.
+ * @param options The input. */
 export function admitCall(
   options: AdmissionOptions,
 ): Result<AdmittedCall, Failure> {
@@ -39,22 +39,29 @@
     return Err(Failure.create("starting", "no configuration yet"));
   }
   if (headers.requestId === undefined) {
-    return Err(Failure.create("malformed_request", "no id, or several"));
+    return Err(
+      Failure.create(
+        "malformed_request",
+        "request id missing, empty or repeated",
+      ),
+    );
   }
   if (headers.host === undefined) {
-    return Err(Failure.create("malformed_request", "no host, or several"));
+    return Err(
+      Failure.create("malformed_request", "host header missing or repeated"),
+    );
   }
   const route = routes.getRoute(headers.host, path);
   if (!route) {
     return Err(Failure.create("not_found", `${headers.host} ${path}`));
   }
-  const holder = findHolder(routes, route, options);
+  const holder = findKeyHolder(routes, route, options);
   if (holder.isErr()) return holder;
   return Ok(buildCall(options, headers.requestId, route, holder.value));
 }
 
-/** The customer of the request's key; undefined where the route needs none. */
-function findHolder(
+/** Finds the customer of the request's key; undefined if the route needs no key. */
+function findKeyHolder(
   routes: RouteTable,
   route: Route,
   options: AdmissionOptions,
@@ -62,7 +69,12 @@
   if (route.isAnonymous || !routes.needsKeys) return Ok(undefined);
   const { key } = options.headers;
   if (!options.mayHonourKeys) {
-    return Err(Failure.create("belief_too_old", "keys are not honoured now"));
+    return Err(
+      Failure.create(
+        "belief_too_old",
+        "the configuration is too old to accept keys",
+      ),
+    );
   }
   const holder = key === undefined ? undefined : routes.getHolder(key);
   if (holder) return Ok(holder);
@@ -88,7 +100,7 @@
     route,
     service: chooseService(route, sharedParts.at(-1)?.id ?? requestId),
     customer: holder?.name,
-    urgency: rankUrgency(route, holder),
+    urgency: computeUrgency(route, holder),
     sharedParts: sharedParts.map(({ id, tokens }) => ({
       name: PrefixIndex.nameOf(id),
       tokens,
@@ -100,13 +112,17 @@
   };
 }
 
-/** The prompt's parts that other requests share: all but the last, or the only one. */
+/** Returns the parts of the prompt that other requests may share: all but the last, or the only one. */
 function findSharedParts(headers: CallerHeaders): readonly PromptPart[] {
   const parts = headers.prompt?.parts ?? [];
   return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
 
-function rankUrgency(route: Route, holder: KeyHolder | undefined): number {
-  const ofCustomer = (holder?.priority ?? 0) * CLASSES_PER_CUSTOMER_PRIORITY;
-  return Math.max(0, Math.min(LEAST_URGENT, ofCustomer + route.priority));
+function computeUrgency(route: Route, holder: KeyHolder | undefined): number {
+  const customerUrgency = (holder?.priority ?? 0) *
+    CLASSES_PER_CUSTOMER_PRIORITY;
+  return Math.max(
+    0,
+    Math.min(LEAST_URGENT_CLASS, customerUrgency + route.priority),
+  );
 }
--- a/src/forward/answer_relay.ts
+++ b/src/forward/answer_relay.ts
@@ -2,133 +2,140 @@
 import type { AnswerHeaders } from "./caller_headers.ts";
 import { EventSplitter } from "./event_splitter.ts";
 
-/** Stops and goes on with reading an upstream's answer. */
-export interface AnswerSource {
+/** Pauses and resumes reading the response of an upstream. */
+export interface ResponseSource {
   pause(): void;
   resume(): void;
 }
 
-/** Head of an upstream's answer. */
-export interface AnswerHead {
+/** Status and headers of an upstream's response. */
+export interface ResponseHead {
   status: number;
-  answer: AnswerHeaders;
+  headers: AnswerHeaders;
 }
 
-/** Passes an upstream's answer to the caller: a stream event by event, anything else when it is whole. */
-export class AnswerRelay {
-  private currentHead: AnswerHead | undefined;
+/** Forwards responses of upstreams to the caller: an event stream event by event, anything else once it is complete. */
+export class ResponseRelay {
+  private currentHead: ResponseHead | undefined;
   private body: Buffer[] = [];
   private splitter: EventSplitter | undefined;
-  private eventId: string | undefined;
+  private lastId: string | undefined;
   private events = 0;
-  private eventsBefore = 0;
+  private forwardedEventsBefore = 0;
 
   private constructor(
-    private readonly answer: CallerAnswer,
+    private readonly response: CallerAnswer,
     lastEventId: string | undefined,
   ) {
-    this.eventId = lastEventId;
+    this.lastId = lastEventId;
   }
 
   /** Creates a relay.
-   * @param answer Where the answer is given.
-   * @param lastEventId Id of the last event that the caller has, where it resumes a stream. */
+   * @param response The response to the caller.
+   * @param lastEventId Id of the last event that the caller has received, if it resumes a stream. */
   static create(
-    answer: CallerAnswer,
+    response: CallerAnswer,
     lastEventId: string | undefined,
-  ): AnswerRelay {
-    return new AnswerRelay(answer, lastEventId);
+  ): ResponseRelay {
+    return new ResponseRelay(response, lastEventId);
   }
 
-  /** Head of the attempt's answer, or nothing before it. */
-  get head(): AnswerHead | undefined {
+  /** Status and headers of the current attempt's response; undefined before they arrive. */
+  get head(): ResponseHead | undefined {
     return this.currentHead;
   }
 
-  /** Whether the attempt's answer is passed on event by event. */
+  /** Whether the current attempt's response is forwarded event by event. */
   get isStream(): boolean {
     return this.splitter !== undefined;
   }
 
-  /** Whether an event of the stream has begun and not ended. */
-  get hasRest(): boolean {
-    return this.splitter?.hasRest ?? false;
+  /** Whether part of an event has been received. */
+  get hasIncompleteEvent(): boolean {
+    return this.splitter?.hasIncompleteEvent ?? false;
   }
 
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that was forwarded, or that the caller named when it resumed the stream. */
   get lastEventId(): string | undefined {
-    return this.eventId;
+    return this.lastId;
   }
 
-  /** Events passed on, by all attempts. */
-  get eventsGiven(): number {
+  /** Number of events forwarded by all attempts. */
+  get eventsForwarded(): number {
     return this.events;
   }
 
-  /** Whether the attempt under way has brought an event that was passed on. */
-  get isAnsweredInPart(): boolean {
-    return this.events > this.eventsBefore;
+  /** Whether an event of the current attempt has been forwarded. */
+  get hasPartialResponse(): boolean {
+    return this.events > this.forwardedEventsBefore;
   }
 
-  /** Forgets what another attempt brought and was not passed on. */
+  /** Starts a new attempt and discards what the previous one received but did not forward. */
   startAttempt(): void {
     this.currentHead = undefined;
     this.body = [];
     this.splitter = undefined;
-    this.eventsBefore = this.events;
+    this.forwardedEventsBefore = this.events;
   }
 
-  /** Takes the head of an answer.
-   * @param head The head.
-   * @param isStream Whether the answer is passed on event by event. */
-  takeHead(head: AnswerHead, isStream: boolean): void {
+  /** Sets the status and headers of the current attempt's response.
+   * @param head Status and headers.
+   * @param isStream Whether the response is forwarded event by event. */
+  setHead(head: ResponseHead, isStream: boolean): void {
     this.currentHead = head;
     if (isStream) this.splitter = EventSplitter.create();
   }
 
-  /** Takes bytes of an answer's body.
+  /** Processes bytes of the response body.
    * @param bytes The bytes.
-   * @param source Paused while the caller takes no more. */
-  takeBytes(bytes: Buffer, source: AnswerSource | undefined): void {
+   * @param source Paused while the caller's connection accepts no more data. */
+  pushBytes(bytes: Buffer, source: ResponseSource | undefined): void {
     if (!this.splitter) {
       this.body.push(bytes);
       return;
     }
     for (const event of this.splitter.push(bytes)) {
-      if (event.id !== undefined) this.eventId = event.id;
-      this.giveEvent(event.bytes, source);
+      if (event.id !== undefined) this.lastId = event.id;
+      this.forwardEvent(event.bytes, source);
     }
   }
 
-  /** Gives an answer that is no stream, once it is whole. */
-  giveWhole(): void {
-    const { status, answer } = this.currentHead!;
-    this.answer.giveWhole(status, answer.passedBack, Buffer.concat(this.body));
+  /** Sends a complete response that is not a stream to the caller. */
+  sendComplete(): void {
+    const { status, headers } = this.currentHead!;
+    this.response.sendComplete(
+      status,
+      headers.passedBack,
+      Buffer.concat(this.body),
+    );
   }
 
-  /** Ends a stream as whole. */
+  /** Ends the stream to the caller as complete. */
   endStream(): void {
     this.beginStream();
-    this.answer.endStream();
+    this.response.endStream();
   }
 
-  private giveEvent(bytes: Buffer, source: AnswerSource | undefined): void {
+  private forwardEvent(
+    bytes: Buffer,
+    source: ResponseSource | undefined,
+  ): void {
     this.beginStream();
     this.events += 1;
-    const hasRoom = this.answer.write(bytes, () => source?.resume());
-    if (!hasRoom) source?.pause();
+    const canWriteMore = this.response.write(bytes, () => source?.resume());
+    if (!canWriteMore) source?.pause();
   }
 
-  /** Begins the stream to the caller, where no attempt before has. */
+  /** Begins the stream to the caller unless an earlier attempt has already begun it. */
   private beginStream(): void {
-    if (this.answer.hasStarted) return;
-    const { status, answer } = this.currentHead!;
-    this.answer.beginStream(status, withoutLength(answer.passedBack));
+    if (this.response.hasStarted) return;
+    const { status, headers } = this.currentHead!;
+    this.response.beginStream(status, removeContentLength(headers.passedBack));
   }
 }
 
-/** Headers without a length, which a stream that may go on elsewhere can't promise. */
-function withoutLength(headers: readonly string[]): string[] {
+/** Returns headers without the content length, which is unknown if a stream may continue at another upstream. */
+function removeContentLength(headers: readonly string[]): string[] {
   const kept: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     if (headers[index]!.toLowerCase() === "content-length") continue;
--- a/src/forward/attempt.ts
+++ b/src/forward/attempt.ts
@@ -5,56 +5,56 @@
 import type { Upstream } from "../upstreams/upstream.ts";
 import type { AnswerHeaders, HeaderCodec } from "./caller_headers.ts";
 
-/** Why an attempt ended without a whole answer. */
+/** Why an attempt ended without a complete response. */
 export type AttemptFailure =
   /** No byte of the request left this host. */
   | "not_sent"
-  /** The same, for the upstream said meanwhile that it takes no requests. */
+  /** Not sent either: before the connection was ready, the upstream announced that it accepts no requests. */
   | "withheld"
-  /** The connection ended, or what came is no answer to this request. */
+  /** The connection failed after the request was sent, or the response does not belong to this request. */
   | "broken";
 
-/** What an attempt sends. */
+/** The HTTP request that an attempt sends. */
 export interface AttemptRequest {
   method: string;
   path: string;
-  /** Name and value by turns. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer | undefined;
   requestId: string;
 }
 
-/** Told what becomes of an attempt. */
+/** Receives the events of an attempt. */
 export interface AttemptListener {
-  /** The head of the answer. */
-  onHead(status: number, answer: AnswerHeaders): void;
-  /** Bytes of the answer's body. */
+  /** The status and headers of the response arrived. */
+  onHead(status: number, headers: AnswerHeaders): void;
+  /** Bytes of the response body arrived. */
   onBytes(bytes: Buffer): void;
-  /** The answer is whole. */
+  /** The response is complete. */
   onEnd(): void;
-  /** There will be no whole answer. */
+  /** The attempt failed; there will be no complete response. */
   onFailure(failure: AttemptFailure, detail: string): void;
-  /** The upstream has declined the request after the attempt was abandoned. */
-  onLateDecline(status: number, answer: AnswerHeaders): void;
+  /** The upstream declined the request after the attempt was abandoned. */
+  onLateDecline(status: number, headers: AnswerHeaders): void;
 }
 
-/** One sending of a request to one upstream, up to its end. */
+/** One attempt to send a request to one upstream, until the response ends or the attempt fails. */
 export class Attempt {
   private readonly channel: Channel;
   /** Monotonic milliseconds at which the first byte left this host. */
   private sentAt: number | undefined;
   private hasHead = false;
   private isAbandoned = false;
-  private isOver = false;
+  private isFinished = false;
   private isReusable = true;
-  private hasPaused = false;
+  private isReadingPaused = false;
   private isWithheld = false;
-  /** Whether the request tries an upstream that was left out, and was not answered yet. */
+  /** Whether this is an unanswered trial request to an upstream that has recently backed off or been full. */
   private isTrial: boolean;
   private controller: { pause(): void; resume(): void } | undefined;
 
   private constructor(
-    /** Where the request is sent. */
+    /** The upstream that the request is sent to. */
     readonly upstream: Upstream,
     private readonly codec: HeaderCodec,
     private readonly listener: AttemptListener,
@@ -65,10 +65,10 @@
   }
 
   /** Sends a request.
-   * @param upstream Where to.
+   * @param upstream The upstream.
    * @param request The request.
-   * @param codec Reads the answer's headers.
-   * @param listener Told what becomes of it, never before this returns. */
+   * @param codec Parses the response headers.
+   * @param listener Receives the events, never before this method returns. */
   static create(
     upstream: Upstream,
     request: AttemptRequest,
@@ -85,40 +85,40 @@
     return this.sentAt !== undefined;
   }
 
-  /** Milliseconds since the first byte left this host; 0 where none did. */
+  /** Milliseconds since the first byte left this host; 0 if none did. */
   get elapsedMs(): number {
     return this.sentAt === undefined ? 0 : readClock() - this.sentAt;
   }
 
-  /** Whether its end has not come. */
-  get isUnderWay(): boolean {
-    return !this.isOver && !this.isAbandoned;
+  /** Whether the attempt has neither ended nor been abandoned. */
+  get isInProgress(): boolean {
+    return !this.isFinished && !this.isAbandoned;
   }
 
-  /** Breaks the attempt off; the listener is told of a late decline only. Before the head of the answer the connection
-   * stays open for a moment, since a decline that is under way also says when to send again. */
+  /** Abandons the attempt; the listener then receives at most a late decline. Before the response head has arrived, the
+   * connection stays open briefly, since a decline in transit also says when to send requests again. */
   abandon(): void {
-    if (!this.isUnderWay) return;
+    if (!this.isInProgress) return;
     this.isAbandoned = true;
     if (this.sentAt === undefined || this.hasHead) return this.close();
     closeAfterDeclineWindow(this.sentAt, () => this.close());
   }
 
-  /** Whether this side has stopped reading, for the caller takes no more; silence then says nothing of the upstream. */
+  /** Whether reading is paused because the caller reads too slowly; silence then says nothing about the upstream. */
   get isPaused(): boolean {
-    return this.hasPaused;
+    return this.isReadingPaused;
   }
 
-  /** Stops reading the answer until `resume`. */
+  /** Pauses reading the response until `resume`. */
   pause(): void {
-    this.hasPaused = true;
+    this.isReadingPaused = true;
     this.controller?.pause();
   }
 
-  /** Goes on reading the answer. */
+  /** Resumes reading the response. */
   resume(): void {
-    this.hasPaused = false;
-    if (!this.isOver) this.controller?.resume();
+    this.isReadingPaused = false;
+    if (!this.isFinished) this.controller?.resume();
   }
 
   private send(request: AttemptRequest): void {
@@ -127,14 +127,14 @@
       this.channel.send(
         { method: method as "GET", path, headers, body: body ?? null },
         {
-          onRequestStart: (controller) => this.begin(controller),
-          onResponseStart: (_controller, status, answerHeaders) =>
-            this.takeHead(status, answerHeaders, requestId),
+          onRequestStart: (controller) => this.onRequestStart(controller),
+          onResponseStart: (_controller, status, headers) =>
+            this.onHead(status, headers, requestId),
           onResponseData: (_controller, bytes) => {
             this.upstream.heardAt = readClock();
-            if (!this.isOver) this.listener.onBytes(bytes);
+            if (!this.isFinished) this.listener.onBytes(bytes);
           },
-          onResponseEnd: () => this.takeEnd(),
+          onResponseEnd: () => this.onEnd(),
           onResponseError: (_controller, error) => this.fail(error.message),
         },
       );
@@ -143,52 +143,55 @@
     }
   }
 
-  /** Lets the first byte out; a request that waited for its connection is withheld where the upstream takes none any more. */
-  private begin(controller: Dispatcher.DispatchController): void {
+  /** Called before the first byte is sent. Aborts a request that waited for its connection if the upstream no longer
+   * accepts requests. */
+  private onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.upstream.availability.takesRequests(readClock())) {
       this.sentAt = readClock();
       return;
     }
     this.isWithheld = true;
-    controller.abort(new Error("the upstream takes no requests any more"));
+    controller.abort(new Error("the upstream no longer accepts requests"));
   }
 
-  private takeHead(
+  private onHead(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
     requestId: string,
   ): void {
     const now = readClock();
     this.upstream.heardAt = now;
-    if (status < 200 || this.isOver) return;
-    const answer = this.codec.readAnswer(status, headers);
-    // Another upstream at the address speaks for itself only.
-    if (!answer.isOtherUpstream) {
-      this.upstream.availability.note(answer.availability, now);
+    if (status < 200 || this.isFinished) return;
+    const response = this.codec.readAnswer(status, headers);
+    // Another upstream that now has this address reports only its own availability.
+    if (!response.isOtherUpstream) {
+      this.upstream.availability.note(response.availability, now);
     }
-    if (!answer.isNotRun) this.upstream.availability.noteTaken();
-    this.endTrial(!answer.isNotRun);
-    if (answer.load) {
-      const requests = answer.load.running + answer.load.waiting;
+    if (!response.isNotRun) this.upstream.availability.noteTaken();
+    this.endTrial(!response.isNotRun);
+    if (response.load) {
+      const requests = response.load.running + response.load.waiting;
       this.upstream.reported = { requests, at: now };
     }
-    if (answer.isClosing) this.isReusable = false;
-    if (answer.requestId !== undefined && answer.requestId !== requestId) {
-      return this.fail(`answer to another request ${answer.requestId}`);
+    if (response.isClosing) this.isReusable = false;
+    if (response.requestId !== undefined && response.requestId !== requestId) {
+      return this.fail(
+        `the response belongs to another request ${response.requestId}`,
+      );
     }
     this.hasHead = true;
-    if (this.isAbandoned) return this.takeLateHead(status, answer);
-    this.listener.onHead(status, answer);
+    if (this.isAbandoned) return this.onLateHead(status, response);
+    this.listener.onHead(status, response);
   }
 
-  private takeLateHead(status: number, answer: AnswerHeaders): void {
+  private onLateHead(status: number, headers: AnswerHeaders): void {
     this.close();
-    if (answer.isNotRun) this.listener.onLateDecline(status, answer);
+    if (headers.isNotRun) this.listener.onLateDecline(status, headers);
   }
 
-  private takeEnd(): void {
-    if (this.channel.wasReset) return this.fail("reset within the answer");
+  private onEnd(): void {
+    if (this.channel.wasReset) return this.fail("reset during the response");
     if (!this.finish()) return;
     if (this.isReusable) this.upstream.channels.giveBack(this.channel);
     else this.channel.close();
@@ -199,28 +202,28 @@
     if (!this.finish()) return;
     this.channel.close();
     if (this.isAbandoned) return;
-    this.listener.onFailure(this.describeFailure(), detail);
+    this.listener.onFailure(this.classifyFailure(), detail);
   }
 
-  private describeFailure(): AttemptFailure {
+  private classifyFailure(): AttemptFailure {
     if (this.wasSent) return "broken";
     return this.isWithheld ? "withheld" : "not_sent";
   }
 
-  private endTrial(wasTaken: boolean): void {
+  private endTrial(wasAccepted: boolean): void {
     if (!this.isTrial) return;
     this.isTrial = false;
-    this.upstream.availability.endTrial(wasTaken);
+    this.upstream.availability.endTrial(wasAccepted);
   }
 
   private close(): void {
     if (this.finish()) this.channel.close();
   }
 
-  /** Ends the attempt; returns whether it had not ended before. */
+  /** Ends the attempt; returns false if it had already ended. */
   private finish(): boolean {
-    if (this.isOver) return false;
-    this.isOver = true;
+    if (this.isFinished) return false;
+    this.isFinished = true;
     this.upstream.ownRequests -= 1;
     this.endTrial(false);
     return true;
--- a/src/forward/attempt_budget.ts
+++ b/src/forward/attempt_budget.ts
@@ -1,26 +1,26 @@
 import { mayRunAgain, type RoutedCall } from "./routed_call.ts";
 
-/** Upstreams that a request may be brought to without running there: out of reach, full, or gone. */
-const MAX_UNRUN_ATTEMPTS = 4;
+/** Maximum attempts that end without running the request: the upstream was unreachable, full or gone. */
+const MAX_NOT_RUN_ATTEMPTS = 4;
 
-/** Counts a call's attempts, and tells whether there may be another. */
+/** Counts the attempts of a call and decides whether another is allowed. */
 export class AttemptBudget {
   private ranAttempts = 0;
-  private unrunAttempts = 0;
+  private notRunAttempts = 0;
 
   private constructor(
     private readonly call: RoutedCall,
-    private readonly spendOfService: (service: string) => boolean,
+    private readonly spendServiceRetry: (service: string) => boolean,
   ) {}
 
-  /** Creates a budget of which nothing is used.
+  /** Creates an unused budget.
    * @param call The call.
-   * @param spendOfService Takes a retry from the budget of a service; returns whether there was one. */
+   * @param spendServiceRetry Takes a retry from the budget of a service; returns whether one was left. */
   static create(
     call: RoutedCall,
-    spendOfService: (service: string) => boolean,
+    spendServiceRetry: (service: string) => boolean,
   ): AttemptBudget {
-    return new AttemptBudget(call, spendOfService);
+    return new AttemptBudget(call, spendServiceRetry);
   }
 
   /** Whether an attempt that has ended may have run the request. */
@@ -29,40 +29,40 @@
   }
 
   /** Counts an attempt that may have run the request. */
-  noteRan(): void {
+  recordRan(): void {
     this.ranAttempts += 1;
   }
 
-  /** Counts an attempt that certainly did not run. */
-  noteUnrun(): void {
-    this.unrunAttempts += 1;
+  /** Counts an attempt that certainly did not run the request. */
+  recordNotRun(): void {
+    this.notRunAttempts += 1;
   }
 
-  /** Whether the call and its route allow that the request runs once more.
-   * @param underWay Attempts under way, which may run it too. */
-  allowsRun(underWay = 0): boolean {
+  /** Whether the call and its route allow the request to run once more.
+   * @param attemptsInProgress Attempts in progress, which may run it too. */
+  allowsRun(attemptsInProgress = 0): boolean {
     return mayRunAgain(this.call) &&
-      this.ranAttempts + underWay < this.call.route.maxAttempts;
+      this.ranAttempts + attemptsInProgress < this.call.route.maxAttempts;
   }
 
-  /** Takes another attempt after one that may have run; returns whether there may be one. */
-  spendAfterRun(): boolean {
+  /** Takes a retry after an attempt that may have run the request; returns whether it is allowed. */
+  spendRetryAfterRun(): boolean {
     return this.allowsRun() && this.spendRetry();
   }
 
-  /** Takes another attempt after one that reached no upstream; returns whether there may be one. The next is the first to
-   * arrive, so that the service's budget, which is of arrivals beyond the first, isn't touched. */
-  spendAfterUnsent(): boolean {
-    return this.unrunAttempts < MAX_UNRUN_ATTEMPTS;
+  /** Whether another attempt is allowed after one that reached no upstream. It takes no retry from the service's
+   * budget, which covers arrivals at upstreams beyond the first: the next attempt is the first to arrive. */
+  allowsRetryAfterUnsent(): boolean {
+    return this.notRunAttempts < MAX_NOT_RUN_ATTEMPTS;
   }
 
-  /** Takes another attempt after one that certainly did not run; returns whether there may be one. */
-  spendAfterUnrun(): boolean {
-    return this.unrunAttempts < MAX_UNRUN_ATTEMPTS && this.spendRetry();
+  /** Takes a retry after an attempt that certainly did not run the request; returns whether it is allowed. */
+  spendRetryAfterNotRun(): boolean {
+    return this.notRunAttempts < MAX_NOT_RUN_ATTEMPTS && this.spendRetry();
   }
 
-  /** Takes a retry from the budget of the call's service; returns whether there was one. */
+  /** Takes a retry from the budget of the call's service; returns whether one was left. */
   spendRetry(): boolean {
-    return this.spendOfService(this.call.service);
+    return this.spendServiceRetry(this.call.service);
   }
 }
--- a/src/forward/build_attempt_request.ts
+++ b/src/forward/build_attempt_request.ts
@@ -2,19 +2,19 @@
 import type { HeaderCodec, UpstreamHeaders } from "./caller_headers.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** Builds what an attempt sends.
+/** Builds the request that an attempt sends.
  * @param call The call.
- * @param own What differs from attempt to attempt.
+ * @param attemptHeaders The values that differ between attempts.
  * @param codec Writes the headers. */
 export function buildAttemptRequest(
   call: RoutedCall,
-  own: Omit<UpstreamHeaders, "customer" | "urgency">,
+  attemptHeaders: Omit<UpstreamHeaders, "customer" | "urgency">,
   codec: HeaderCodec,
 ): AttemptRequest {
   const { method, path, body, requestId, customer } = call;
   const urgency = call.headers.prompt ? call.urgency : undefined;
   const headers = codec.writeUpstream(call.headers, {
-    ...own,
+    ...attemptHeaders,
     customer,
     urgency,
   });
--- a/src/forward/call_deadline.ts
+++ b/src/forward/call_deadline.ts
@@ -1,48 +1,48 @@
 import { readClock } from "../clock/clock.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** The moment at which a call's time is over: the caller's own, or that of its route where that comes sooner. */
+/** Deadline of a call: the caller's deadline or the time-out of its route, whichever comes first. */
 export class CallDeadline {
   private timer: NodeJS.Timeout | undefined;
   private timeoutMs: number;
 
   private constructor(
     private readonly call: RoutedCall,
-    private readonly onOver: () => void,
+    private readonly onExpired: () => void,
   ) {
     this.timeoutMs = call.route.timeoutMs;
-    this.arm();
+    this.startTimer();
   }
 
-  /** Creates a deadline.
+  /** Creates a deadline and starts its timer.
    * @param call The call.
-   * @param onOver Told once when its time is over. */
-  static create(call: RoutedCall, onOver: () => void): CallDeadline {
-    return new CallDeadline(call, onOver);
+   * @param onExpired Called when the deadline expires. */
+  static create(call: RoutedCall, onExpired: () => void): CallDeadline {
+    return new CallDeadline(call, onExpired);
   }
 
-  /** Time that is left, in milliseconds. */
+  /** Remaining time in milliseconds. */
   get remainingMs(): number {
     const { receivedAt, callerEndsAt } = this.call;
-    const endsAt = Math.min(callerEndsAt, receivedAt + this.timeoutMs);
-    return endsAt - readClock();
+    const deadlineAt = Math.min(callerEndsAt, receivedAt + this.timeoutMs);
+    return deadlineAt - readClock();
   }
 
-  /** Takes over a changed time-out of the route.
+  /** Applies a changed time-out of the route.
    * @param timeoutMs The time-out in milliseconds. */
   change(timeoutMs: number): void {
     if (timeoutMs === this.timeoutMs) return;
     this.timeoutMs = timeoutMs;
-    this.arm();
+    this.startTimer();
   }
 
-  /** Stops waiting. */
+  /** Stops the timer. */
   close(): void {
     clearTimeout(this.timer);
   }
 
-  private arm(): void {
+  private startTimer(): void {
     clearTimeout(this.timer);
-    this.timer = setTimeout(this.onOver, Math.max(0, this.remainingMs));
+    this.timer = setTimeout(this.onExpired, Math.max(0, this.remainingMs));
   }
 }
--- a/src/forward/call_log.ts
+++ b/src/forward/call_log.ts
@@ -7,54 +7,55 @@
 import type { RoutedCall } from "./routed_call.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
 
-/** One sending of a request, as it is logged. */
+/** The logged data of one attempt when it is sent. */
 export interface LoggedSend {
   choice: UpstreamChoice;
-  /** Why the request is sent: `first`, or how the attempt before ended. */
+  /** Why the request is sent: `first`, or how the previous attempt ended. */
   reason: string;
   remainingMs: number;
-  /** What was known of the requests on the upstream. */
+  /** The known load of the upstream. */
   load: LoadSnapshot;
-  /** What the upstream is taken to keep of the prompt; undefined where the request shares none. */
+  /** What the upstream is assumed to have cached of the prompt; undefined if the request shares no prompt. */
   prompt: PromptPlace | undefined;
 }
 
-/** What an upstream is taken to keep of a prompt when it is sent there. */
+/** What an upstream is assumed to have cached of a prompt that is sent to it. */
 export interface PromptPlace {
-  /** Short name of the deepest part that requests share. */
+  /** Hash of the last shared part. */
   part: number;
-  /** Tokens of the shared parts, and of those the ones that the upstream is taken to keep. */
+  /** Number of tokens in the shared parts. */
   sharedTokens: number;
+  /** Number of those tokens that the upstream is assumed to have cached. */
   keptTokens: number;
-  /** Address of the engine from which the upstream fetches what it lacks. */
+  /** Address of the engine from which the upstream fetches the missing parts. */
   fetchFrom: string | undefined;
 }
 
-/** How far an attempt had come when it met trouble. */
+/** Progress of an attempt when it failed, was declined or became silent. */
 export interface AttemptProgress {
-  /** Number of the attempt, from 1. */
+  /** Number of the attempt, starting at 1. */
   attempt: number;
-  /** Events of the answer that the caller had by then, from all attempts. */
+  /** Number of events forwarded to the caller so far, by all attempts. */
   events: number;
 }
 
-/** Writes the log lines of one request's attempts. */
+/** Writes the log lines for the attempts of one call. */
 export class CallLog {
   private constructor(
     private readonly logger: Logger,
     private readonly call: RoutedCall,
   ) {}
 
-  /** Creates the log of a request.
-   * @param logger Where the lines are written.
-   * @param call The request. */
+  /** Creates the log of a call.
+   * @param logger Receives the log lines.
+   * @param call The call. */
   static create(logger: Logger, call: RoutedCall): CallLog {
     return new CallLog(logger, call);
   }
 
-  /** Writes that the request is sent to an upstream, with what decided it.
-   * @param send The sending. */
-  noteSent(send: LoggedSend): void {
+  /** Logs that the request is sent to an upstream, and what the choice was based on.
+   * @param send The attempt. */
+  logSent(send: LoggedSend): void {
     const { choice, reason, remainingMs, load, prompt } = send;
     const { upstream, basis, bound } = choice;
     const { availability } = upstream;
@@ -76,18 +77,18 @@
       reportedLoad: load.reported,
       reportAgeMs: load.reportAgeMs && Math.round(load.reportAgeMs),
       backoffMs: Math.round(availability.getBackoffMs(readClock())),
-      saysLeaving: availability.isLeaving,
-      failureRate: roundRate(upstream),
+      isLeaving: availability.isLeaving,
+      failureRate: roundFailureRate(upstream),
       ...prompt,
     }, "request_sent");
   }
 
-  /** Writes that an upstream turned the request away, with what it asked for.
+  /** Logs that an upstream declined the request, with the backoff that it asked for.
    * @param upstream The upstream.
-   * @param status Status code of its answer.
-   * @param availability What the answer says of further requests.
-   * @param progress How far the attempt had come. */
-  noteDeclined(
+   * @param status Status code of its response.
+   * @param availability What the response says about further requests.
+   * @param progress Progress of the attempt. */
+  logDeclined(
     upstream: Upstream,
     status: number,
     availability: AvailabilityNotice,
@@ -97,17 +98,17 @@
       request: this.call.requestId,
       upstream: upstream.id,
       status,
-      askedBackoffMs: availability.backoffMs,
-      saysLeaving: availability.isLeaving,
+      requestedBackoffMs: availability.backoffMs,
+      isLeaving: availability.isLeaving,
       ...progress,
     }, "attempt_declined");
   }
 
-  /** Writes that an attempt failed or is silent.
+  /** Logs that an attempt failed or is silent.
    * @param upstream Upstream of the attempt.
-   * @param detail What happened.
-   * @param progress How far it had come. */
-  noteTrouble(
+   * @param detail Description of the failure.
+   * @param progress Progress of the attempt. */
+  logFailed(
     upstream: Upstream,
     detail: string,
     progress: AttemptProgress,
@@ -117,12 +118,12 @@
       upstream: upstream.id,
       detail,
       ...progress,
-      failureRate: roundRate(upstream),
+      failureRate: roundFailureRate(upstream),
     }, "attempt_failed");
   }
 }
 
-function roundRate(upstream: Upstream): number {
+function roundFailureRate(upstream: Upstream): number {
   return roundTo(upstream.health.rate, 2);
 }
 
--- a/src/forward/call_run.ts
+++ b/src/forward/call_run.ts
@@ -4,8 +4,8 @@
 import type { Route } from "../published/configuration_schema.ts";
 import type { UpstreamChoice } from "../upstreams/choose_upstream.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import { isFailure, promisesNotRun } from "./answer_status.ts";
-import { AnswerRelay } from "./answer_relay.ts";
+import { isFailureStatus, isNotRunStatus } from "./answer_status.ts";
+import { ResponseRelay } from "./answer_relay.ts";
 import {
   Attempt,
   type AttemptFailure,
@@ -14,111 +14,115 @@
 import { AttemptBudget } from "./attempt_budget.ts";
 import { type AttemptProgress, CallLog } from "./call_log.ts";
 import { CallDeadline } from "./call_deadline.ts";
-import type { CallOutcome, CallRunContext } from "./call_run_context.ts";
+import type { CallForwarderContext, CallOutcome } from "./call_run_context.ts";
 import type { CallerAnswer } from "./caller_answer.ts";
 import type { AnswerHeaders } from "./caller_headers.ts";
 import { buildAttemptRequest } from "./build_attempt_request.ts";
-import { isDearToReread } from "./is_dear_to_reread.ts";
+import { isPrefillCostly } from "./is_dear_to_reread.ts";
 import {
-  describeSilence,
+  formatSilence,
   type Silence,
-  SilenceWatch,
+  SilenceDetector,
 } from "./silence_watch.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** Least time left in which sending once more makes sense, in milliseconds. */
-const LEAST_REMAINING_MS = 15;
+/** An attempt is not started with less time than this left, in milliseconds. */
+const MIN_REMAINING_MS = 15;
 
-/** One request on its way: attempts at upstreams until one gives the answer, or time or retries are used up. */
+/** Forwards one call: makes attempts at upstreams until one responds or the deadline or the retries are exhausted. */
 export class CallRun {
-  private readonly tried = new Set<string>();
+  private readonly triedUpstreamIds = new Set<string>();
   private readonly budget: AttemptBudget;
-  private readonly relay: AnswerRelay;
+  private readonly relay: ResponseRelay;
   private readonly log: CallLog;
   private attempt: Attempt | undefined;
-  private isOver = false;
-  private silence: SilenceWatch | undefined;
+  private isFinished = false;
+  private silenceDetector: SilenceDetector | undefined;
   private readonly deadline: CallDeadline;
 
   private constructor(
-    /** The request. */
+    /** The call that is forwarded. */
     readonly call: RoutedCall,
-    private readonly answer: CallerAnswer,
-    private readonly context: CallRunContext,
+    private readonly response: CallerAnswer,
+    private readonly context: CallForwarderContext,
   ) {
     this.deadline = CallDeadline.create(call, () => this.expire());
     this.budget = AttemptBudget.create(call, context.spendRetry);
     this.log = CallLog.create(context.logger, call);
-    this.relay = AnswerRelay.create(answer, call.headers.lastEventId);
+    this.relay = ResponseRelay.create(response, call.headers.lastEventId);
   }
 
-  /** Starts a run.
-   * @param call The request.
-   * @param answer Where the answer is given.
-   * @param context What the run needs. */
+  /** Starts the first attempt of a call.
+   * @param call The call.
+   * @param response Receives the response for the caller.
+   * @param context Dependencies on the rest of the process. */
   static create(
     call: RoutedCall,
-    answer: CallerAnswer,
-    context: CallRunContext,
+    response: CallerAnswer,
+    context: CallForwarderContext,
   ): CallRun {
-    const run = new CallRun(call, answer, context);
-    run.next("first");
-    return run;
+    const forwarder = new CallRun(call, response, context);
+    forwarder.sendToNext("first");
+    return forwarder;
   }
 
-  /** Takes over a changed route; a shorter time-out holds for requests under way.
-   * @param route The route as it is now; undefined where it is gone. */
+  /** Applies a changed route; a shorter time-out also applies to calls in progress.
+   * @param route The current route; undefined if it was removed. */
   applyRoute(route: Route | undefined): void {
-    if (!this.isOver && route) this.deadline.change(route.timeoutMs);
+    if (!this.isFinished && route) this.deadline.change(route.timeoutMs);
   }
 
-  /** Ends the run where nothing was answered yet, for the request is held back: it is on its way to crash one more. */
+  /** Refuses the call because its request is now held, unless the attempt in progress has already forwarded events: an
+   * unanswered attempt is likely to crash one more upstream. */
   holdBack(): void {
-    if (this.relay.isAnsweredInPart) return;
-    this.refuseHeld("held while under way");
+    if (this.relay.hasPartialResponse) return;
+    this.refuseHeld("held while in progress");
   }
 
-  /** Fails the attempt on a start of an upstream that is no more, for nobody may end its connection.
-   * @param upstream The start. */
+  /** Fails the attempt in progress at an upstream that has restarted: its old connection may never be closed.
+   * @param upstream The instance before the restart. */
   loseUpstream(upstream: Upstream): void {
-    if (this.isOver || this.attempt?.upstream !== upstream) return;
-    if (!this.attempt.isUnderWay) return;
+    if (this.isFinished || this.attempt?.upstream !== upstream) return;
+    if (!this.attempt.isInProgress) return;
     this.attempt.abandon();
-    this.takeFailure("broken", "its upstream has started again");
+    this.onFailure("broken", "the upstream has restarted");
   }
 
-  /** Ends the run, for the caller is gone. */
+  /** Ends the call because the caller has disconnected. */
   abandon(): void {
     this.finish("caller_gone", "the caller closed its connection");
   }
 
   private expire(): void {
     const durationMs = readClock() - this.call.receivedAt;
-    const detail = `no answer within ${Math.round(durationMs)} ms`;
+    const detail = `no response within ${Math.round(durationMs)} ms`;
     this.refuse(this.mayHaveRun ? "timed_out" : "overloaded", detail);
   }
 
-  /** Whether the request may have run: an attempt failed after it was sent, or one is under way. */
+  /** Whether the request may have run: an attempt failed after it was sent, or one that was sent is in progress. */
   private get mayHaveRun(): boolean {
     return this.budget.mayHaveRun || (this.attempt?.wasSent ?? false);
   }
 
-  /** Whether a request that failed may be sent to another upstream, for all that it is blamed for. */
+  /** Whether the crash guard allows sending a request that failed to another upstream. */
   private get maySendAgain(): boolean {
     const { fingerprint } = this.call;
     return this.context.crashes.maySendAgain(fingerprint);
   }
 
   private get progress(): AttemptProgress {
-    return { attempt: this.tried.size, events: this.relay.eventsGiven };
+    return {
+      attempt: this.triedUpstreamIds.size,
+      events: this.relay.eventsForwarded,
+    };
   }
 
-  /** Sends the request to the next upstream, or refuses it where there is none or it is likely to crash that too. */
-  private next(reason: string): void {
-    if (this.tried.size > 0 && !this.maySendAgain) {
+  /** Sends the request to the next upstream; refuses the call if none is left or the request would likely crash it. */
+  private sendToNext(reason: string): void {
+    if (this.triedUpstreamIds.size > 0 && !this.maySendAgain) {
       return this.refuseHeld(`held after ${reason}`);
     }
-    const choice = this.context.choose(this.call, this.tried);
+    const choice = this.context.choose(this.call, this.triedUpstreamIds);
     if (choice) this.sendTo(choice, reason);
     else this.giveUp(`no upstream left after ${reason}`);
   }
@@ -126,189 +130,200 @@
   private sendTo(choice: UpstreamChoice, reason: string): void {
     const { call, context } = this;
     const { upstream } = choice;
-    this.tried.add(upstream.id);
+    this.triedUpstreamIds.add(upstream.id);
     this.relay.startAttempt();
     const { remainingMs } = this.deadline;
-    if (remainingMs < LEAST_REMAINING_MS) return this.giveUp("no time left");
+    if (remainingMs < MIN_REMAINING_MS) return this.giveUp("deadline too near");
     this.watchForSilence(upstream);
     const prompt = context.placePrompt(call, upstream);
     const load = context.noteSend(choice);
-    this.log.noteSent({ choice, reason, remainingMs, load, prompt });
+    this.log.logSent({ choice, reason, remainingMs, load, prompt });
     const { lastEventId } = this.relay;
     const fetchFrom = prompt?.fetchFrom;
-    const own = {
+    const attemptHeaders = {
       upstreamId: upstream.id,
       remainingMs,
       lastEventId,
       fetchFrom,
     };
-    this.send(upstream, buildAttemptRequest(call, own, context.codec));
+    this.send(
+      upstream,
+      buildAttemptRequest(call, attemptHeaders, context.codec),
+    );
   }
 
   private watchForSilence(upstream: Upstream): void {
-    this.silence?.close();
-    this.silence = SilenceWatch.create(
+    this.silenceDetector?.close();
+    this.silenceDetector = SilenceDetector.create(
       upstream,
       this.call.route,
       {
-        onOverdue: ({ silentMs }) => this.takeOverdue(upstream, silentMs),
-        onSilence: (silence) => this.takeSilence(upstream, silence),
+        onOverdue: ({ silentMs }) => this.onOverdue(upstream, silentMs),
+        onSilence: (silence) => this.onSilence(upstream, silence),
       },
     );
   }
 
   private send(upstream: Upstream, request: AttemptRequest): void {
     this.attempt = Attempt.create(upstream, request, this.context.codec, {
-      onHead: (status, answer) => this.takeHead(status, answer),
-      onBytes: (bytes) => this.takeBytes(bytes),
-      onEnd: () => this.takeEnd(),
-      onFailure: (failure, detail) => this.takeFailure(failure, detail),
+      onHead: (status, answer) => this.onHead(status, answer),
+      onBytes: (bytes) => this.onBytes(bytes),
+      onEnd: () => this.onEnd(),
+      onFailure: (failure, detail) => this.onFailure(failure, detail),
       onLateDecline: (status, answer) =>
         this.recordDecline(upstream, status, answer),
     });
   }
 
-  private takeHead(status: number, answer: AnswerHeaders): void {
+  private onHead(status: number, headers: AnswerHeaders): void {
     const upstream = this.attempt!.upstream;
-    if (answer.isNotRun) return this.takeDecline(upstream, status, answer);
+    if (headers.isNotRun) return this.onDecline(upstream, status, headers);
     const isSuccess = status >= 200 && status < 300;
-    const isOwn = answer.requestId === this.call.requestId;
-    if (isSuccess && !(answer.hasProof && isOwn)) {
+    const isForThisRequest = headers.requestId === this.call.requestId;
+    if (isSuccess && !(headers.hasProof && isForThisRequest)) {
       this.attempt!.abandon();
-      return this.takeFailure("broken", "a success without proof or id");
+      return this.onFailure(
+        "broken",
+        "success response without a seal or matching request id",
+      );
     }
-    const isStream = isSuccess && answer.isEventStream;
-    this.relay.takeHead({ status, answer }, isStream);
+    const isStream = isSuccess && headers.isEventStream;
+    this.relay.setHead({ status, headers }, isStream);
   }
 
-  private takeDecline(
+  private onDecline(
     upstream: Upstream,
     status: number,
-    answer: AnswerHeaders,
+    headers: AnswerHeaders,
   ): void {
     this.attempt!.abandon();
     this.attempt = undefined;
-    this.budget.noteUnrun();
-    this.recordDecline(upstream, status, answer);
-    this.retryUnrun(`declined with ${status}`);
+    this.budget.recordNotRun();
+    this.recordDecline(upstream, status, headers);
+    this.retryAfterDecline(`declined with status ${status}`);
   }
 
   private recordDecline(
     upstream: Upstream,
     status: number,
-    answer: AnswerHeaders,
+    headers: AnswerHeaders,
   ): void {
-    if (answer.isOtherUpstream) this.context.noteMoved(upstream);
+    if (headers.isOtherUpstream) this.context.noteMoved(upstream);
     else upstream.availability.noteFull(readClock());
-    const { availability } = answer;
-    this.log.noteDeclined(upstream, status, availability, this.progress);
+    const { availability } = headers;
+    this.log.logDeclined(upstream, status, availability, this.progress);
   }
 
-  /** A silent upstream counts as unsound; where it is likely stuck the request goes elsewhere. */
-  private takeSilence(upstream: Upstream, silence: Silence): void {
-    if (this.isOver || this.attempt?.isPaused) return;
+  /** Records a silent upstream as unhealthy, and sends the request elsewhere if the upstream is likely stuck. */
+  private onSilence(upstream: Upstream, silence: Silence): void {
+    if (this.isFinished || this.attempt?.isPaused) return;
     const { silentMs, isLikelyStuck } = silence;
-    this.log.noteTrouble(upstream, describeSilence(silentMs), this.progress);
+    this.log.logFailed(upstream, formatSilence(silentMs), this.progress);
     this.context.noteHealth(upstream, "silent");
     if (isLikelyStuck) this.sendElsewhere(upstream, silentMs);
   }
 
-  /** Sends a request whose answer may be lost elsewhere, unless its prompt is dear to read a second time. */
-  private takeOverdue(upstream: Upstream, silentMs: number): void {
-    if (!isDearToReread(this.call)) this.sendElsewhere(upstream, silentMs);
+  /** Sends the request elsewhere because its response may be lost, unless a second prefill of its prompt is costly. */
+  private onOverdue(upstream: Upstream, silentMs: number): void {
+    if (!isPrefillCostly(this.call)) this.sendElsewhere(upstream, silentMs);
   }
 
-  /** Gives an attempt up for one at another upstream, where the request may run again and there is one; else it waits on. */
+  /** Replaces the attempt by one at another upstream if the request may run again and another upstream is available;
+   * otherwise keeps waiting. */
   private sendElsewhere(upstream: Upstream, silentMs: number): void {
-    const isUnderWay = !this.isOver && this.attempt?.upstream === upstream;
-    if (!isUnderWay || !this.budget.allowsRun(1)) return;
+    const isInProgress = !this.isFinished &&
+      this.attempt?.upstream === upstream;
+    if (!isInProgress || !this.budget.allowsRun(1)) return;
     if (!this.maySendAgain) return;
-    const other = this.context.choose(this.call, this.tried);
-    if (!other || !this.budget.spendRetry()) return;
+    const alternative = this.context.choose(this.call, this.triedUpstreamIds);
+    if (!alternative || !this.budget.spendRetry()) return;
     const wasSent = this.attempt?.wasSent ?? false;
     this.attempt?.abandon();
-    if (wasSent) this.budget.noteRan();
-    else this.budget.noteUnrun();
-    this.sendTo(other, describeSilence(silentMs));
+    if (wasSent) this.budget.recordRan();
+    else this.budget.recordNotRun();
+    this.sendTo(alternative, formatSilence(silentMs));
   }
 
-  private takeBytes(bytes: Buffer): void {
-    this.silence?.noteBytes();
-    this.relay.takeBytes(bytes, this.attempt);
+  private onBytes(bytes: Buffer): void {
+    this.silenceDetector?.recordBytes();
+    this.relay.pushBytes(bytes, this.attempt);
   }
 
-  private takeEnd(): void {
+  private onEnd(): void {
     const upstream = this.attempt!.upstream;
     const { head } = this.relay;
-    if (!head) return this.takeFailure("broken", "an end without a head");
-    if (this.relay.isStream) return this.takeStreamEnd(upstream);
+    if (!head) return this.onFailure("broken", "response without headers");
+    if (this.relay.isStream) return this.onStreamEnd(upstream);
     const { status } = head;
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
     this.context.crashes.noteServed(this.call.fingerprint);
-    const { backoffMs } = head.answer.availability;
-    if (isFailure(status)) {
+    const { backoffMs } = head.headers.availability;
+    if (isFailureStatus(status)) {
       if (backoffMs === undefined) {
         this.context.noteHealth(upstream, "error_answer");
       }
-      this.budget.noteRan();
-      if (this.budget.spendAfterRun()) {
-        return this.next(`answered with ${status}`);
+      this.budget.recordRan();
+      if (this.budget.spendRetryAfterRun()) {
+        return this.sendToNext(`responded with status ${status}`);
       }
     } else this.context.noteHealth(upstream, "good");
-    // A caller takes these for a promise that the request has not run, which the upstream did not say.
-    if (promisesNotRun(status)) {
-      return this.refuse("upstream_failed", `answered with ${status}`);
+    // Callers read these statuses as a promise that the request has not run, which the upstream did not state.
+    if (isNotRunStatus(status)) {
+      return this.refuse("upstream_failed", `responded with status ${status}`);
     }
-    this.relay.giveWhole();
+    this.relay.sendComplete();
     this.finish("answered", `status ${status}`);
   }
 
-  private takeStreamEnd(upstream: Upstream): void {
-    if (this.relay.hasRest) {
-      return this.takeFailure("broken", "the stream ended within an event");
+  private onStreamEnd(upstream: Upstream): void {
+    if (this.relay.hasIncompleteEvent) {
+      return this.onFailure(
+        "broken",
+        "the stream ended in the middle of an event",
+      );
     }
     this.context.noteHealth(upstream, "good");
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
     this.context.crashes.noteServed(this.call.fingerprint);
     this.relay.endStream();
-    this.finish("answered", `${this.relay.eventsGiven} events`);
+    this.finish("answered", `${this.relay.eventsForwarded} events`);
   }
 
-  private takeFailure(failure: AttemptFailure, detail: string): void {
+  private onFailure(failure: AttemptFailure, detail: string): void {
     const upstream = this.attempt!.upstream;
-    this.log.noteTrouble(upstream, detail, this.progress);
-    if (failure !== "broken") return this.takeUnsent(upstream, failure, detail);
+    this.log.logFailed(upstream, detail, this.progress);
+    if (failure !== "broken") return this.onUnsent(upstream, failure, detail);
     this.context.noteHealth(upstream, "broken");
     this.context.crashes.noteBroken(
       upstream,
       this.call.fingerprint,
-      this.relay.isAnsweredInPart,
+      this.relay.hasPartialResponse,
     );
-    this.budget.noteRan();
-    if (this.budget.spendAfterRun()) return this.next(detail);
+    this.budget.recordRan();
+    if (this.budget.spendRetryAfterRun()) return this.sendToNext(detail);
     this.refuse("upstream_failed", detail);
   }
 
-  private takeUnsent(
+  private onUnsent(
     upstream: Upstream,
     failure: Exclude<AttemptFailure, "broken">,
     detail: string,
   ): void {
-    this.budget.noteUnrun();
+    this.budget.recordNotRun();
     if (failure === "not_sent") {
       this.context.noteHealth(upstream, "unreachable");
     }
-    if (this.budget.spendAfterUnsent()) return this.next(detail);
+    if (this.budget.allowsRetryAfterUnsent()) return this.sendToNext(detail);
     this.giveUp(detail);
   }
 
-  /** Goes on after an attempt that certainly did not run. */
-  private retryUnrun(detail: string): void {
-    if (this.budget.spendAfterUnrun()) return this.next(detail);
+  /** Retries or gives up after an attempt that certainly did not run the request. */
+  private retryAfterDecline(detail: string): void {
+    if (this.budget.spendRetryAfterNotRun()) return this.sendToNext(detail);
     this.giveUp(detail);
   }
 
-  /** Refuses: as not run where that is certain. */
+  /** Refuses the call; as not run only if that is certain. */
   private giveUp(detail: string): void {
     this.refuse(
       this.budget.mayHaveRun ? "upstream_failed" : "overloaded",
@@ -316,7 +331,7 @@
     );
   }
 
-  /** Refuses a request that likely crashes upstreams: as not run where that is certain. */
+  /** Refuses a call whose request likely crashes upstreams; as not run only if that is certain. */
   private refuseHeld(detail: string): void {
     this.refuse(
       this.mayHaveRun ? "upstream_failed" : "crashes_upstreams",
@@ -324,27 +339,28 @@
     );
   }
 
-  /** Refuses; upstreams' own word tells when the caller may come back, but for a request that is held by itself. */
+  /** Refuses the call. The retry time comes from the upstreams' backoffs, except for a held request, which gets the
+   * default of its error kind. */
   private refuse(kind: ErrorKind, detail: string): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     const retryAfterMs = kind === "crashes_upstreams"
       ? undefined
       : this.context.getRetryAfterMs(this.call.service);
-    this.answer.refuse(Failure.create(kind, detail, retryAfterMs));
+    this.response.refuse(Failure.create(kind, detail, retryAfterMs));
     this.finish(
-      this.relay.eventsGiven > 0 ? "broken_off" : "refused",
+      this.relay.eventsForwarded > 0 ? "broken_off" : "refused",
       `${kind}: ${detail}`,
     );
   }
 
   private finish(result: CallOutcome["result"], detail: string): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     this.deadline.close();
-    this.silence?.close();
+    this.silenceDetector?.close();
     this.attempt?.abandon();
     const durationMs = readClock() - this.call.receivedAt;
-    const attempts = this.tried.size;
+    const attempts = this.triedUpstreamIds.size;
     this.context.onEnd(this, { result, detail, durationMs, attempts });
   }
 }
--- a/src/forward/call_run_context.ts
+++ b/src/forward/call_run_context.ts
@@ -8,58 +8,59 @@
 import type { HeaderCodec } from "./caller_headers.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** How a run ended. */
+/** How a call ended. */
 export interface CallOutcome {
   result: "answered" | "refused" | "broken_off" | "caller_gone";
-  /** Status or count of events of the answer, or why there is none. */
+  /** Status or event count of the response, or the reason why there is no complete response. */
   detail: string;
   durationMs: number;
-  /** Upstreams that were chosen for the request. */
+  /** Number of upstreams that were chosen for the call. */
   attempts: number;
 }
 
-/** What a run needs of those who know the upstreams. */
+/** Selection and bookkeeping of upstreams, as needed to forward a call. */
 export interface UpstreamAccess {
-  /** Chooses an upstream for a call, leaving out those tried. */
+  /** Chooses an upstream for a call, excluding those already tried. */
   choose: (
     call: RoutedCall,
     tried: ReadonlySet<string>,
   ) => UpstreamChoice | undefined;
-  /** Time after which a caller that is refused may come back, in milliseconds; undefined where no upstream's word tells. */
+  /** Time after which a refused caller may retry, in milliseconds; undefined if the upstreams' backoffs give none. */
   getRetryAfterMs: (service: string) => number | undefined;
-  /** What an engine keeps of a call's prompt, and from where it should fetch the rest; records that it is sent there. */
+  /** Returns what an engine has cached of a call's prompt and where it should fetch the rest from, and records that the
+   * prompt is sent there; undefined if the call shares no prompt. */
   placePrompt: (call: RoutedCall, target: Upstream) => PromptPlace | undefined;
-  /** Told of each send; returns what was known of the requests on the upstream. */
+  /** Records that a request is sent; returns the known load of the upstream. */
   noteSend: (choice: UpstreamChoice) => LoadSnapshot;
-  /** Told of each whole answer, with the milliseconds since the request was sent. */
+  /** Records a complete response, with the milliseconds since the request was sent. */
   noteCompleted: (call: RoutedCall, durationMs: number) => void;
-  /** Takes a retry from the budget of a service; returns whether there was one. */
+  /** Takes a retry from the budget of a service; returns whether one was left. */
   spendRetry: (service: string) => boolean;
-  /** Told how an attempt ended, as far as the upstream's health goes. */
+  /** Records what an attempt shows about the health of its upstream. */
   noteHealth: (upstream: Upstream, sign: HealthSign) => void;
-  /** Told that an upstream's address belongs to another now. */
+  /** Records that the address of an upstream now belongs to another one. */
   noteMoved: (upstream: Upstream) => void;
 }
 
-/** What a run tells and asks of the crashes that a request may cause. */
+/** Reports and checks for requests that may crash upstreams. */
 export interface CrashAccess {
   /** Whether a request that failed may be sent to another upstream. */
   maySendAgain: (fingerprint: number) => boolean;
-  /** Told of an attempt whose connection ended before its answer did. */
+  /** Records an attempt whose connection ended before its response was complete. */
   noteBroken: (
     upstream: Upstream,
     fingerprint: number,
     isAnsweredInPart: boolean,
   ) => void;
-  /** Told of a request that an upstream ran to its end, whatever the answer. */
+  /** Records a request that an upstream ran to completion, whatever the response status. */
   noteServed: (fingerprint: number) => void;
 }
 
-/** What a run needs of the rest of the process. */
-export interface CallRunContext extends UpstreamAccess {
+/** Dependencies of a call forwarder on the rest of the process. */
+export interface CallForwarderContext extends UpstreamAccess {
   logger: Logger;
   codec: HeaderCodec;
   crashes: CrashAccess;
-  /** Told when the run is over. */
-  onEnd: (run: CallRun, outcome: CallOutcome) => void;
+  /** Called once when the call has ended. */
+  onEnd: (forwarder: CallRun, outcome: CallOutcome) => void;
 }
--- a/src/forward/call_server.ts
+++ b/src/forward/call_server.ts
@@ -12,17 +12,18 @@
 import type { Logger } from "../logging/logger.ts";
 import type { CallerLimits } from "../published/configuration_schema.ts";
 
-/** Room for headers beyond the published limit, which is checked apart and answered by the table, in bytes. */
+/** Limit of Node's header parser in bytes. It is above the published limit, which is checked after parsing so that the
+ * caller gets the response of the answer table. */
 const HEADER_PARSER_LIMIT_BYTES = 128 * 1024;
-/** Interval at which connections are looked at for callers that are too slow, in milliseconds. */
-const SLOW_CHECK_INTERVAL_MS = 500;
-/** Time by which an idle connection is kept longer than callers were told they may rest it, in milliseconds. */
-const IDLE_MARGIN_MS = 1_000;
-/** Time for a whole request to arrive, in milliseconds: as for a time-out of the largest routes. */
+/** Interval at which Node checks connections for header and request time-outs, in milliseconds. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
+/** Time for which an idle connection is kept open beyond the idle time-out that callers know, in milliseconds. */
+const IDLE_TIMEOUT_MARGIN_MS = 1_000;
+/** Time-out for receiving a complete request, in milliseconds: equal to the time-out of the largest routes. */
 const REQUEST_TIMEOUT_MS = 20_000;
 
-/** Errors of reading a request, as Node names them. */
-const KIND_BY_CODE: Readonly<Record<string, ErrorKind>> = {
+/** Error kinds by Node's error code; any other code is a malformed request. */
+const ERROR_KIND_BY_NODE_CODE: Readonly<Record<string, ErrorKind>> = {
   HPE_HEADER_OVERFLOW: "headers_too_large",
   ERR_HTTP_REQUEST_TIMEOUT: "caller_too_slow",
 };
@@ -34,10 +35,10 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Opens a server.
-   * @param address Where to listen, as ip:port.
-   * @param logger Where malformed requests are written.
-   * @param onRequest Takes each well-formed request. */
+  /** Starts a server and waits until it listens.
+   * @param address The address to listen on, as ip:port.
+   * @param logger Receives a log line for each malformed request.
+   * @param onRequest Called for each well-formed request. */
   static async create(
     address: string,
     logger: Logger,
@@ -45,36 +46,40 @@
   ): Promise<CallServer> {
     const server = createServer({
       maxHeaderSize: HEADER_PARSER_LIMIT_BYTES,
-      connectionsCheckingInterval: SLOW_CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
       requestTimeout: REQUEST_TIMEOUT_MS,
       noDelay: true,
     }, onRequest);
-    const opened = new CallServer(server, logger);
-    server.on("clientError", (error, socket) => opened.refuse(error, socket));
+    const callServer = new CallServer(server, logger);
+    server.on(
+      "clientError",
+      (error, socket) => callServer.refuse(error, socket),
+    );
     const { host, port } = splitAddress(address);
     server.listen(port, host);
     await once(server, "listening");
-    return opened;
+    return callServer;
   }
 
-  /** Takes over the published limits.
+  /** Applies the published limits.
    * @param limits The limits. */
   applyLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
-    this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
+    this.server.keepAliveTimeout = limits.idleTimeoutMs +
+      IDLE_TIMEOUT_MARGIN_MS;
   }
 
-  /** Takes no new connections. */
+  /** Stops accepting connections. */
   stopListening(): void {
     this.server.close();
   }
 
-  /** Closes the connections on which nothing is under way. */
+  /** Closes the idle connections. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Closes everything at once. */
+  /** Stops listening and closes all connections immediately. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -85,7 +90,8 @@
       socket.destroy();
       return;
     }
-    const kind = KIND_BY_CODE[error.code ?? ""] ?? "malformed_request";
+    const kind = ERROR_KIND_BY_NODE_CODE[error.code ?? ""] ??
+      "malformed_request";
     const failure = Failure.create(kind, error.message);
     this.logger.info({ kind, detail: error.message }, "request_malformed");
     const body = JSON.stringify(failure.body);
--- a/src/forward/caller_answer.ts
+++ b/src/forward/caller_answer.ts
@@ -1,105 +1,105 @@
 import type { ServerResponse } from "node:http";
 import type { Failure } from "../errors/failure.ts";
 
-/** Status codes whose answers have no body. */
-const BODYLESS_STATUS: ReadonlySet<number> = new Set([204, 304]);
+/** Status codes of responses without a body. */
+const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** The answer to one caller: given once, whole or as a stream. */
+/** The response to one caller; sent once, either complete or as a stream. */
 export class CallerAnswer {
   private isStarted = false;
   private isFinished = false;
 
   private constructor(
     private readonly response: ServerResponse,
-    /** Whether the connection is to be closed after the answer; asked when the answer starts. */
-    private readonly isLast: () => boolean,
+    /** Whether the connection is closed after the response; evaluated when the response starts. */
+    private readonly closesConnection: () => boolean,
   ) {}
 
-  /** Creates the answer of a request.
-   * @param response Where it is written.
-   * @param isLast Whether the connection is to be closed after it. */
+  /** Creates the response to a request.
+   * @param response The underlying HTTP response.
+   * @param closesConnection Whether the connection is closed after the response. */
   static create(
     response: ServerResponse,
-    isLast: () => boolean,
+    closesConnection: () => boolean,
   ): CallerAnswer {
-    return new CallerAnswer(response, isLast);
+    return new CallerAnswer(response, closesConnection);
   }
 
-  /** Whether anything of the answer was written. */
+  /** Whether the head of the response has been written. */
   get hasStarted(): boolean {
     return this.isStarted;
   }
 
-  /** Gives an upstream's whole answer.
+  /** Sends a complete response of an upstream.
    * @param status Status code.
-   * @param headers Name and value by turns.
-   * @param body The whole body. */
-  giveWhole(status: number, headers: readonly string[], body: Buffer): void {
-    if (!this.begin(status, headers, body.length)) return;
+   * @param headers Alternating names and values.
+   * @param body The complete body. */
+  sendComplete(status: number, headers: readonly string[], body: Buffer): void {
+    if (!this.start(status, headers, body.length)) return;
     this.isFinished = true;
     this.response.end(body);
   }
 
   /** Begins a stream.
    * @param status Status code.
-   * @param headers Name and value by turns. */
+   * @param headers Alternating names and values. */
   beginStream(status: number, headers: readonly string[]): void {
-    if (this.begin(status, headers, undefined)) this.response.flushHeaders();
+    if (this.start(status, headers, undefined)) this.response.flushHeaders();
   }
 
-  /** Writes a part of the stream; returns whether more may follow at once.
-   * @param bytes The part.
-   * @param onRoom Told when more may follow, where it may not at once. */
-  write(bytes: Buffer, onRoom: () => void): boolean {
+  /** Writes bytes of the stream; returns whether more can be written immediately.
+   * @param bytes The bytes.
+   * @param onDrain If not, called once more can be written. */
+  write(bytes: Buffer, onDrain: () => void): boolean {
     if (this.isFinished) return true;
-    const hasRoom = this.response.write(bytes);
-    if (!hasRoom) this.response.once("drain", onRoom);
-    return hasRoom;
+    const canWriteMore = this.response.write(bytes);
+    if (!canWriteMore) this.response.once("drain", onDrain);
+    return canWriteMore;
   }
 
-  /** Ends a stream as whole. */
+  /** Ends the stream as complete. */
   endStream(): void {
     if (this.isFinished) return;
     this.isFinished = true;
     this.response.end();
   }
 
-  /** Gives a refusal; where a stream has begun, breaks it off so that it does not look whole.
-   * @param failure The refusal. */
+  /** Sends an error response, or aborts a stream that has already begun so that it does not look complete.
+   * @param failure The error. */
   refuse(failure: Failure): void {
     if (this.isFinished) return;
-    if (this.isStarted) return this.breakOff();
+    if (this.isStarted) return this.abort();
     const body = Buffer.from(JSON.stringify(failure.body));
     const headers = Object.entries(failure.headers).flat();
-    if (!this.begin(failure.status, headers, body.length)) return;
+    if (!this.start(failure.status, headers, body.length)) return;
     this.isFinished = true;
     this.response.end(body);
   }
 
-  private breakOff(): void {
+  private abort(): void {
     this.isFinished = true;
     this.response.destroy();
   }
 
-  private begin(
+  private start(
     status: number,
     headers: readonly string[],
     length: number | undefined,
   ): boolean {
     if (this.isStarted || this.response.destroyed) return false;
     this.isStarted = true;
-    const all = [...headers];
+    const allHeaders = [...headers];
     const names = new Set(
       headers.filter((_, index) => index % 2 === 0).map((name) =>
         name.toLowerCase()
       ),
     );
-    const hasBody = !BODYLESS_STATUS.has(status);
+    const hasBody = !BODYLESS_STATUSES.has(status);
     if (length !== undefined && hasBody && !names.has("content-length")) {
-      all.push("content-length", String(length));
+      allHeaders.push("content-length", String(length));
     }
-    if (this.isLast()) all.push("connection", "close");
-    this.response.writeHead(status, all);
+    if (this.closesConnection()) allHeaders.push("connection", "close");
+    this.response.writeHead(status, allHeaders);
     return true;
   }
 }
--- a/src/forward/caller_headers.ts
+++ b/src/forward/caller_headers.ts
@@ -1,94 +1,97 @@
 import type { AvailabilityNotice } from "../upstreams/availability_notice.ts";
 
-/** One part of a prompt that other requests may share. */
+/** One part of a prompt; other requests may share it. */
 export interface PromptPart {
-  /** Equal for equal parts. */
+  /** Identifies the content: equal for equal parts. */
   id: string;
   tokens: number;
 }
 
-/** What a request tells of the prompt it brings to a model engine. */
+/** Description of the prompt in a request to a model engine. */
 export interface PromptOutline {
   model: string;
-  /** The parts in order; the last belongs to the request or its chat alone. */
+  /** The parts in order; the last is specific to the request or its chat. */
   parts: readonly PromptPart[];
-  /** Tokens of the whole prompt. */
+  /** Number of tokens in the entire prompt. */
   promptTokens: number;
 }
 
-/** What the headers of a caller's request say. */
+/** The parsed headers of a caller's request. */
 export interface CallerHeaders {
-  /** Id of this request; undefined where the caller gave none or several. */
+  /** Id of this request; undefined if it is missing, empty or repeated. */
   requestId: string | undefined;
-  /** Host that the request names; undefined where it names none or several. */
+  /** Value of the host header; undefined if it is missing or repeated. */
   host: string | undefined;
-  /** Time for which the caller waits, in milliseconds. */
+  /** Time for which the caller waits for the response, in milliseconds; undefined if not given. */
   remainingMs: number | undefined;
-  /** Key of a customer. */
+  /** API key of a customer. */
   key: string | undefined;
-  /** Undefined where the request is not for a model engine. */
+  /** Undefined if the request is not for a model engine. */
   prompt: PromptOutline | undefined;
-  /** Id of the last event the caller has, where it resumes a stream. */
+  /** Id of the last event that the caller has received, if it resumes a stream. */
   lastEventId: string | undefined;
-  /** Headers to pass on unchanged, as name and value by turns: neither those of one connection only nor those that
+  /** Headers to forward unchanged, as alternating names and values: without hop-by-hop headers and without those that
    * the system sets itself. */
   passedOn: readonly string[];
 }
 
-/** What the system tells an upstream with a request, beside the caller's own headers. */
+/** Values that the system adds to a request for an upstream, in addition to the caller's headers. */
 export interface UpstreamHeaders {
-  /** Upstream that is to run the request; any other refuses it. */
+  /** Upstream that should run the request; any other upstream refuses it. */
   upstreamId: string;
-  /** Time that is left, in milliseconds. */
+  /** Remaining time in milliseconds. */
   remainingMs: number;
   /** Customer of the request's key. */
   customer: string | undefined;
-  /** 0 is the most urgent; for engines only. */
+  /** Priority class; 0 is the most urgent. Only set for engines. */
   urgency: number | undefined;
-  /** Id of the last event that the answer already has. */
+  /** Id of the last event that the caller already has. */
   lastEventId: string | undefined;
-  /** Address of an engine from which this one first takes what it keeps of the prompt. */
+  /** Address of an engine from which the upstream first fetches the cached parts of the prompt. */
   fetchFrom: string | undefined;
 }
 
-/** Requests that an upstream has at the moment. */
+/** Number of requests at an upstream, as it reports them. */
 export interface ReportedLoad {
   running: number;
   waiting: number;
 }
 
-/** What the headers of an upstream's answer say. */
+/** The parsed headers of an upstream's response. */
 export interface AnswerHeaders {
-  /** Id of the request that the answer belongs to. */
+  /** Id of the request that the response belongs to. */
   requestId: string | undefined;
-  /** Whether the upstream says that it has not run the request and never will. */
+  /** Whether the upstream states that it has not run the request and never will. */
   isNotRun: boolean;
-  /** Whether another upstream has the address now. */
+  /** Whether the response is from another upstream that now has the address. */
   isOtherUpstream: boolean;
-  /** Whether the upstream's proof is there, without which an answer is not a success. */
+  /** Whether the upstream's response seal is present; without it a response does not count as a success. */
   hasProof: boolean;
   isEventStream: boolean;
-  /** Undefined where the upstream does not tell. */
+  /** Undefined if the upstream does not report it. */
   load: ReportedLoad | undefined;
-  /** What it says of whether the upstream takes further requests. */
+  /** Whether the upstream accepts further requests. */
   availability: AvailabilityNotice;
   /** Whether the upstream will close the connection. */
   isClosing: boolean;
-  /** Headers for the caller, as name and value by turns. */
+  /** Headers to forward to the caller, as alternating names and values. */
   passedBack: readonly string[];
 }
 
-/** Translates between headers and what they say; an adapter implements it for one platform. */
+/** Parses and writes headers; implemented by the adapter of a platform. */
 export interface HeaderCodec {
-  /** Reads the headers of a request.
-   * @param rawHeaders Name and value by turns, as received. */
+  /** Parses the headers of a request.
+   * @param rawHeaders Alternating names and values, as received. */
   readCaller(rawHeaders: readonly string[]): CallerHeaders;
   /** Writes the headers of a request to an upstream.
-   * @param caller What the caller's headers said.
-   * @param own What the system tells. */
-  writeUpstream(caller: CallerHeaders, own: UpstreamHeaders): string[];
-  /** Reads the headers of an answer.
-   * @param status Status code of the answer.
+   * @param caller The parsed headers of the caller.
+   * @param attemptHeaders The values that the system adds. */
+  writeUpstream(
+    caller: CallerHeaders,
+    attemptHeaders: UpstreamHeaders,
+  ): string[];
+  /** Parses the headers of a response.
+   * @param status Status code of the response.
    * @param headers Headers by lower-case name. */
   readAnswer(
     status: number,
--- a/src/forward/event_splitter.ts
+++ b/src/forward/event_splitter.ts
@@ -1,18 +1,18 @@
-/** Ends of an event, an empty line, with either end of line. */
-const EVENT_ENDS = [Buffer.from("\n\n"), Buffer.from("\r\n\r\n")];
-/** Begins the line of an event that holds its id. */
-const ID_FIELD = "id:";
+/** The empty line that ends an event, for each kind of line ending. */
+const EVENT_TERMINATORS = [Buffer.from("\n\n"), Buffer.from("\r\n\r\n")];
+/** Prefix of the line with the id of an event. */
+const ID_FIELD_PREFIX = "id:";
 
-/** One whole event of a stream, as its bytes. */
+/** One complete event of a stream. */
 export interface StreamEvent {
   bytes: Buffer;
-  /** Its id, where it has one. */
+  /** Id of the event, if it has one. */
   id: string | undefined;
 }
 
-/** Cuts the bytes of an event stream into whole events; what has not ended yet is kept back. */
+/** Splits the bytes of an event stream into complete events and buffers an incomplete one. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private incompleteEvent: Buffer = Buffer.alloc(0);
 
   private constructor() {}
 
@@ -21,17 +21,17 @@
     return new EventSplitter();
   }
 
-  /** Whether bytes of an event that has not ended are kept back. */
-  get hasRest(): boolean {
-    return this.rest.length > 0;
+  /** Whether part of an event is buffered. */
+  get hasIncompleteEvent(): boolean {
+    return this.incompleteEvent.length > 0;
   }
 
-  /** Takes bytes and returns the events that they complete.
+  /** Adds bytes and returns the events that they complete.
    * @param bytes The bytes. */
   push(bytes: Buffer): StreamEvent[] {
-    let pending = this.rest.length === 0
+    let pending = this.incompleteEvent.length === 0
       ? bytes
-      : Buffer.concat([this.rest, bytes]);
+      : Buffer.concat([this.incompleteEvent, bytes]);
     const events: StreamEvent[] = [];
     let end = findEventEnd(pending);
     while (end !== undefined) {
@@ -40,22 +40,25 @@
       pending = pending.subarray(end);
       end = findEventEnd(pending);
     }
-    this.rest = pending;
+    this.incompleteEvent = pending;
     return events;
   }
 }
 
-/** Place after the first whole event, or nothing. */
+/** Returns the offset after the first complete event; undefined if there is none. */
 function findEventEnd(bytes: Buffer): number | undefined {
-  const places = EVENT_ENDS.map((mark) => ({ mark, at: bytes.indexOf(mark) }))
+  const ends = EVENT_TERMINATORS.map((terminator) => ({
+    terminator,
+    at: bytes.indexOf(terminator),
+  }))
     .filter(({ at }) => at >= 0)
-    .map(({ mark, at }) => at + mark.length);
-  return places.length === 0 ? undefined : Math.min(...places);
+    .map(({ terminator, at }) => at + terminator.length);
+  return ends.length === 0 ? undefined : Math.min(...ends);
 }
 
 function readId(event: Buffer): string | undefined {
-  const line = event.toString("latin1").split("\n").find((one) =>
-    one.startsWith(ID_FIELD)
+  const line = event.toString("latin1").split("\n").find((field) =>
+    field.startsWith(ID_FIELD_PREFIX)
   );
-  return line?.slice(ID_FIELD.length).trim();
+  return line?.slice(ID_FIELD_PREFIX.length).trim();
 }
--- a/src/forward/is_dear_to_reread.ts
+++ b/src/forward/is_dear_to_reread.ts
@@ -1,12 +1,16 @@
 import { estimateReadingMs } from "../upstreams/prefix_index.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** Part of a route's objective up to which reading a prompt's shared parts may take for the request to be sent elsewhere
- * when it is overdue: some are only slow, and a long prompt that is read twice costs more than the answer in time. */
-const REREAD_PART = 0.1;
+/** Fraction of a route's objective. An overdue request is sent elsewhere only if the prefill of its shared prompt parts
+ * takes no longer than this: some upstreams are only slow, and a second prefill of a long prompt costs more than a
+ * response in time is worth. */
+const CHEAP_PREFILL_RATIO = 0.1;
 
-/** Whether reading a call's prompt a second time costs more than waiting for an answer that is overdue.
+/** Whether a second prefill of a call's prompt costs more than waiting for an overdue response.
  * @param call The call. */
-export function isDearToReread({ sharedParts, route }: RoutedCall): boolean {
-  return estimateReadingMs(sharedParts) > route.objectiveMs * REREAD_PART;
+export function isPrefillCostly(
+  { sharedParts, route }: RoutedCall,
+): boolean {
+  return estimateReadingMs(sharedParts) >
+    route.objectiveMs * CHEAP_PREFILL_RATIO;
 }
--- a/src/forward/routed_call.ts
+++ b/src/forward/routed_call.ts
@@ -2,33 +2,33 @@
 import type { SentPart } from "../upstreams/prefix_index.ts";
 import type { CallerHeaders } from "./caller_headers.ts";
 
-/** A request that was read, matched and allowed. */
+/** A request that was read, matched with a route and admitted. */
 export interface RoutedCall {
   requestId: string;
   method: string;
-  /** Path with its query, as received. */
+  /** Path with the query string, as received. */
   path: string;
   headers: CallerHeaders;
   body: Buffer | undefined;
-  /** Equal for requests that ask the same for the same customer. */
+  /** Equal for identical requests of the same customer. */
   fingerprint: number;
-  /** The route as it was when the request came. */
+  /** The route at the time when the request arrived. */
   route: Route;
-  /** Service chosen among the route's. */
+  /** The service chosen from those of the route. */
   service: string;
   /** Customer of the request's key. */
   customer: string | undefined;
-  /** 0 is the most urgent. */
+  /** Priority class; 0 is the most urgent. */
   urgency: number;
-  /** The prompt's parts that other requests share, in order; empty where it shares nothing. */
+  /** The prompt parts that other requests may share, in order; empty if there are none. */
   sharedParts: readonly SentPart[];
-  /** Monotonic milliseconds at which the request came. */
+  /** Monotonic time at which the request arrived, in milliseconds. */
   receivedAt: number;
-  /** Monotonic milliseconds up to which the caller waits; infinity where it does not tell. */
+  /** Monotonic time until which the caller waits, in milliseconds; infinity if it gives no deadline. */
   callerEndsAt: number;
 }
 
-/** Whether a call may run again after it may have run.
+/** Whether a request may run again after an attempt that may have run it.
  * @param call The call. */
 export function mayRunAgain(call: RoutedCall): boolean {
   if (call.route.kind === "repeatable") return true;
--- a/src/forward/silence_watch.ts
+++ b/src/forward/silence_watch.ts
@@ -2,43 +2,44 @@
 import type { Route } from "../published/configuration_schema.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
 
-/** Part of a route's objective after which a first answer is missed from an upstream that failed lately. */
-const SUSPECT_PART = 0.5;
-/** Part of a route's objective after which it is missed from any other, which may only be busy with a long prompt. */
-const SOUND_PART = 1;
-/** Part of a route's objective after which a first answer is overdue, whoever else the upstream answers: single answers get
- * lost, and what is left lets a request that may run again still be in time elsewhere. */
-const OVERDUE_PART = 0.6;
-/** Least time after which a first answer is missed, in milliseconds: some times what a sound upstream takes for its
- * shortest work. */
-const LEAST_SILENCE_MS = 60;
-/** Part of the longest pause in time after which the next event of a stream is missed. */
-const STALL_PART = 1.5;
-/** Longest pause where a route names none, in milliseconds. */
-const DEFAULT_GAP_MS = 1_000;
+/** Fraction of a route's objective without any bytes after which an upstream that failed recently counts as silent. */
+const SUSPECT_SILENCE_RATIO = 0.5;
+/** The same for any other upstream, which may only be busy with a long prompt. */
+const HEALTHY_SILENCE_RATIO = 1;
+/** Fraction of a route's objective after which the first bytes are overdue, even if the upstream responds to other
+ * requests: single responses get lost, and the remaining time lets a request that may run again meet the objective
+ * elsewhere. */
+const OVERDUE_RATIO = 0.6;
+/** Minimum time before the first bytes count as missing or overdue, in milliseconds: several times as long as a healthy
+ * upstream takes for its shortest work. */
+const MIN_SILENCE_MS = 60;
+/** Multiple of a route's event gap objective after which a stream counts as stalled. */
+const STALL_RATIO = 1.5;
+/** Event gap objective for routes that set none, in milliseconds. */
+const DEFAULT_EVENT_GAP_MS = 1_000;
 
-/** One silence of an attempt. */
+/** A period in which an attempt has received no bytes. */
 export interface Silence {
-  /** Its length in milliseconds. */
+  /** Duration in milliseconds. */
   silentMs: number;
-  /** Whether the upstream is likely stuck: it failed lately, or was silent towards all requests of this process. */
+  /** Whether the upstream is likely stuck: it failed recently, or was silent for all requests of this process. */
   isLikelyStuck: boolean;
 }
 
-/** Told of an attempt's silences. */
+/** Receives the silences of an attempt. */
 export interface SilenceListener {
-  /** The first answer is overdue, which says little of the upstream; told once at most. */
+  /** The first bytes are overdue, which says little about the upstream; called at most once. */
   onOverdue(silence: Silence): void;
-  /** The upstream is silent; told again where that goes on as long. */
+  /** The upstream is silent; called again each time the silence lasts for another period of the same length. */
   onSilence(silence: Silence): void;
 }
 
-/** Notices when an attempt has been silent for too long. */
-export class SilenceWatch {
+/** Detects that an attempt has received no bytes for too long. */
+export class SilenceDetector {
   private timer: NodeJS.Timeout | undefined;
-  private armedForMs = 0;
+  private timeoutMs = 0;
   private isClosed = false;
-  private heardAt = readClock();
+  private lastBytesAt = readClock();
   private overdueTimer: NodeJS.Timeout | undefined;
 
   private constructor(
@@ -47,66 +48,70 @@
     private readonly listener: SilenceListener,
   ) {}
 
-  /** Starts to watch an attempt that is being sent.
-   * @param upstream Where it is sent.
-   * @param route The request's route.
-   * @param listener Told of silences. */
+  /** Starts monitoring an attempt that is about to be sent.
+   * @param upstream The upstream of the attempt.
+   * @param route The route of the call.
+   * @param listener Receives the silences. */
   static create(
     upstream: Upstream,
     route: Route,
     listener: SilenceListener,
-  ): SilenceWatch {
-    const watch = new SilenceWatch(upstream, route, listener);
-    const part = upstream.health.isSuspect ? SUSPECT_PART : SOUND_PART;
-    watch.arm(Math.max(LEAST_SILENCE_MS, route.objectiveMs * part));
-    watch.overdueTimer = setTimeout(
-      () => listener.onOverdue(watch.describe()),
-      Math.max(LEAST_SILENCE_MS, route.objectiveMs * OVERDUE_PART),
+  ): SilenceDetector {
+    const detector = new SilenceDetector(upstream, route, listener);
+    const ratio = upstream.health.isSuspect
+      ? SUSPECT_SILENCE_RATIO
+      : HEALTHY_SILENCE_RATIO;
+    detector.startTimer(Math.max(MIN_SILENCE_MS, route.objectiveMs * ratio));
+    detector.overdueTimer = setTimeout(
+      () => listener.onOverdue(detector.measureSilence()),
+      Math.max(MIN_SILENCE_MS, route.objectiveMs * OVERDUE_RATIO),
     );
-    return watch;
+    return detector;
   }
 
-  /** Notes that bytes of the answer came. */
-  noteBytes(): void {
-    this.heardAt = readClock();
+  /** Records that bytes of the response arrived. */
+  recordBytes(): void {
+    this.lastBytesAt = readClock();
     clearTimeout(this.overdueTimer);
-    this.arm((this.route.gapObjectiveMs ?? DEFAULT_GAP_MS) * STALL_PART);
+    this.startTimer(
+      (this.route.gapObjectiveMs ?? DEFAULT_EVENT_GAP_MS) * STALL_RATIO,
+    );
   }
 
-  /** Stops watching. */
+  /** Stops monitoring. */
   close(): void {
     this.isClosed = true;
     clearTimeout(this.timer);
     clearTimeout(this.overdueTimer);
   }
 
-  /** Arms the timer; with the same time again it is only set back, for this is done with each event of a stream. */
-  private arm(milliseconds: number): void {
+  /** Starts the timer. An unchanged time-out only refreshes it, since this is done for each event of a stream. */
+  private startTimer(timeoutMs: number): void {
     if (this.isClosed) return;
-    if (this.timer && milliseconds === this.armedForMs) {
+    if (this.timer && timeoutMs === this.timeoutMs) {
       this.timer.refresh();
       return;
     }
     clearTimeout(this.timer);
-    this.armedForMs = milliseconds;
-    this.timer = setTimeout(() => this.tell(), milliseconds);
+    this.timeoutMs = timeoutMs;
+    this.timer = setTimeout(() => this.reportSilence(), timeoutMs);
   }
 
-  private tell(): void {
-    const silence = this.describe();
+  private reportSilence(): void {
+    const silence = this.measureSilence();
     this.timer?.refresh();
     this.listener.onSilence(silence);
   }
 
-  private describe(): Silence {
+  private measureSilence(): Silence {
     const isLikelyStuck = this.upstream.health.isSuspect ||
-      this.upstream.heardAt <= this.heardAt;
-    return { silentMs: readClock() - this.heardAt, isLikelyStuck };
+      this.upstream.heardAt <= this.lastBytesAt;
+    return { silentMs: readClock() - this.lastBytesAt, isLikelyStuck };
   }
 }
 
-/** Writes the length of a silence for the log and as the reason of the next attempt.
- * @param silentMs Its length in milliseconds. */
-export function describeSilence(silentMs: number): string {
+/** Formats the duration of a silence, for the log and as the reason of the next attempt.
+ * @param silentMs Duration in milliseconds. */
+export function formatSilence(silentMs: number): string {
   return `silent for ${Math.round(silentMs)} ms`;
 }
--- a/tests/forward/attempt_budget_test.ts
+++ b/tests/forward/attempt_budget_test.ts
@@ -16,15 +16,19 @@
 
 test("an attempt that reached no upstream is repeated from no budget, for the next is the first to arrive", (t) => {
   const { budget, getLeft } = createBudget(0);
-  budget.noteUnrun();
-  t.true(budget.spendAfterUnsent());
+  budget.recordNotRun();
+  t.true(budget.allowsRetryAfterUnsent());
   t.is(getLeft(), 0);
 });
 
 test("attempts that reach no upstream are repeated a few times", (t) => {
   const { budget } = createBudget(0);
   let repeats = 0;
-  for (budget.noteUnrun(); budget.spendAfterUnsent(); budget.noteUnrun()) {
+  for (
+    budget.recordNotRun();
+    budget.allowsRetryAfterUnsent();
+    budget.recordNotRun()
+  ) {
     repeats += 1;
   }
   t.is(repeats, 3);
@@ -32,7 +36,7 @@
 
 test("an attempt that an upstream declined is repeated from the service's budget", (t) => {
   const { budget } = createBudget(1);
-  budget.noteUnrun();
-  t.true(budget.spendAfterUnrun());
-  t.false(budget.spendAfterUnrun());
+  budget.recordNotRun();
+  t.true(budget.spendRetryAfterNotRun());
+  t.false(budget.spendRetryAfterNotRun());
 });
--- a/tests/forward/event_splitter_test.ts
+++ b/tests/forward/event_splitter_test.ts
@@ -23,7 +23,7 @@
           }
           at = next;
         }
-        return found.join() === "1,2,3" && splitter.hasRest;
+        return found.join() === "1,2,3" && splitter.hasIncompleteEvent;
       },
     );
     t.notThrows(() => fc.assert(keeps, { seed: 2, numRuns: 300 }));
