--- a/tests/forward/attempt_budget_test.ts
+++ b/tests/forward/attempt_budget_test.ts
@@ -3,25 +3,25 @@
 import type { RoutedCall } from "../../src/forward/routed_call.ts";
 import { buildRoute } from "../published/build_published.ts";
 
-/** A budget of a call whose service has some retries left. */
+/** Creates the budget of a call whose service has the given number of retries left. */
 function createBudget(retries: number) {
   const call = { route: buildRoute(), service: "s" } as RoutedCall;
-  let left = retries;
+  let remaining = retries;
   const budget = AttemptBudget.create(call, () => {
-    left -= 1;
-    return left >= 0;
+    remaining -= 1;
+    return remaining >= 0;
   });
-  return { budget, getLeft: () => left };
+  return { budget, getRemaining: () => remaining };
 }
 
-test("an attempt that reached no upstream is repeated from no budget, for the next is the first to arrive", (t) => {
-  const { budget, getLeft } = createBudget(0);
+test("a retry after an attempt that reached no upstream takes nothing from the service's budget", (t) => {
+  const { budget, getRemaining } = createBudget(0);
   budget.recordNotRun();
   t.true(budget.allowsRetryAfterUnsent());
-  t.is(getLeft(), 0);
+  t.is(getRemaining(), 0);
 });
 
-test("attempts that reach no upstream are repeated a few times", (t) => {
+test("attempts that reach no upstream are retried three times", (t) => {
   const { budget } = createBudget(0);
   let repeats = 0;
   for (
@@ -34,7 +34,7 @@
   t.is(repeats, 3);
 });
 
-test("an attempt that an upstream declined is repeated from the service's budget", (t) => {
+test("a retry after a declined attempt is taken from the service's budget", (t) => {
   const { budget } = createBudget(1);
   budget.recordNotRun();
   t.true(budget.spendRetryAfterNotRun());
--- a/tests/forward/attempt_test.ts
+++ b/tests/forward/attempt_test.ts
@@ -17,12 +17,12 @@
   requestId: REQUEST_ID,
 };
 
-/** What became of an attempt. */
-type Ending =
+/** How an attempt ended. */
+type AttemptResult =
   | { type: "whole"; body: string }
   | { type: "failed"; failure: string; detail: string };
 
-/** Serves raw bytes to whatever is asked. */
+/** Starts a TCP server that calls a function for the first bytes of each connection. */
 async function serveRaw(answer: (socket: Socket) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
@@ -33,7 +33,7 @@
   return server;
 }
 
-function attemptAt(upstream: Upstream): Promise<Ending> {
+function sendAttempt(upstream: Upstream): Promise<AttemptResult> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     Attempt.create(upstream, REQUEST, platformHeaders, {
@@ -60,91 +60,92 @@
   });
 }
 
-async function attemptAgainst(
+async function sendAttemptTo(
   answer: (socket: Socket) => void,
-): Promise<Ending> {
+): Promise<AttemptResult> {
   const server = await serveRaw(answer);
   const upstream = createUpstream((server.address() as AddressInfo).port);
   try {
-    return await attemptAt(upstream);
+    return await sendAttempt(upstream);
   } finally {
     upstream.close();
     server.close();
   }
 }
 
-const HEAD = `HTTP/1.1 200 OK\r\nX-Beechkeel-Attempt-Id: ${REQUEST_ID}\r\n`;
+const RESPONSE_HEAD =
+  `HTTP/1.1 200 OK\r\nX-Beechkeel-Attempt-Id: ${REQUEST_ID}\r\n`;
 
-test("an answer without a length that ends with its connection is whole", async (t) => {
-  const ending = await attemptAgainst((socket) =>
-    socket.end(`${HEAD}Connection: close\r\n\r\nall of it`)
+test("a response without a content length is complete when its connection is closed", async (t) => {
+  const result = await sendAttemptTo((socket) =>
+    socket.end(`${RESPONSE_HEAD}Connection: close\r\n\r\nall of it`)
   );
-  t.deepEqual(ending, { type: "whole", body: "all of it" });
+  t.deepEqual(result, { type: "whole", body: "all of it" });
 });
 
-test("an answer without a length whose connection is reset is not whole", async (t) => {
-  const ending = await attemptAgainst((socket) =>
+test("a response without a content length is incomplete when its connection is reset", async (t) => {
+  const result = await sendAttemptTo((socket) =>
     socket.write(
-      `${HEAD}Connection: close\r\n\r\nhalf of it`,
+      `${RESPONSE_HEAD}Connection: close\r\n\r\nhalf of it`,
       () => setTimeout(() => socket.resetAndDestroy(), 20),
     )
   );
-  t.is(ending.type, "failed");
+  t.is(result.type, "failed");
 });
 
-test("an answer without a length is not whole where its reset comes together with its last bytes", async (t) => {
-  const ending = await attemptAgainst((socket) =>
+test("a response without a content length is incomplete when the reset arrives together with its last bytes", async (t) => {
+  const result = await sendAttemptTo((socket) =>
     socket.write(
-      `${HEAD}Connection: close\r\n\r\nhalf of it`,
+      `${RESPONSE_HEAD}Connection: close\r\n\r\nhalf of it`,
       () => socket.resetAndDestroy(),
     )
   );
-  t.is(ending.type, "failed");
+  t.is(result.type, "failed");
 });
 
-test("an answer shorter than its length is not whole", async (t) => {
-  const ending = await attemptAgainst((socket) =>
-    socket.end(`${HEAD}Content-Length: 20\r\n\r\nhalf`)
+test("a response shorter than its content length is incomplete", async (t) => {
+  const result = await sendAttemptTo((socket) =>
+    socket.end(`${RESPONSE_HEAD}Content-Length: 20\r\n\r\nhalf`)
   );
-  t.is(ending.type, "failed");
+  t.is(result.type, "failed");
 });
 
-test("an answer to another request is not taken", async (t) => {
-  const ending = await attemptAgainst((socket) =>
+test("a response to another request is rejected", async (t) => {
+  const result = await sendAttemptTo((socket) =>
     socket.end(
       "HTTP/1.1 200 OK\r\nX-Beechkeel-Attempt-Id: r-0\r\nContent-Length: 2\r\n\r\nno",
     )
   );
-  t.is(ending.type, "failed");
+  t.is(result.type, "failed");
   t.regex(
-    ending.type === "failed" ? ending.detail : "",
+    result.type === "failed" ? result.detail : "",
     /another request r-0/,
   );
 });
 
-test("a refused connection says that nothing was sent", async (t) => {
+test("a refused connection is reported as not sent", async (t) => {
   const server = await serveRaw(() => undefined);
   const { port } = server.address() as AddressInfo;
   server.close();
   await once(server, "close");
-  const ending = await attemptAt(createUpstream(port));
-  t.is(ending.type === "failed" && ending.failure, "not_sent");
+  const result = await sendAttempt(createUpstream(port));
+  t.is(result.type === "failed" && result.failure, "not_sent");
 });
 
-const DECLINE = "HTTP/1.1 503 Service Unavailable\r\n" +
+const DECLINE_HEAD = "HTTP/1.1 503 Service Unavailable\r\n" +
   `X-Beechkeel-Attempt-Id: ${REQUEST_ID}\r\nX-Beechkeel-Not-Executed: 1\r\n`;
 
-/** What an abandoned attempt comes to: a decline that it still hears, or the end of its connection. */
-type LateEnding =
+/** How an abandoned attempt ended: with a late decline or with the close of its connection. */
+type AbandonedResult =
   | { type: "declined"; status: number; answer: AnswerHeaders }
   | { type: "closed" };
 
-/** Sends a request, abandons it once the upstream has it, and answers it only then. */
-async function abandonAt(
+/** Sends a request, abandons the attempt once the upstream has received it, and sends the response afterwards. */
+async function abandonAttempt(
   answer: string,
-): Promise<{ upstream: Upstream; ending: LateEnding; told: string[] }> {
-  const told: string[] = [];
-  const { promise, resolve } = createDeferred<LateEnding>();
+): Promise<{ upstream: Upstream; result: AbandonedResult; calls: string[] }> {
+  const calls: string[] = [];
+  const { promise, resolve } = createDeferred<AbandonedResult>();
   const server = await serveRaw((socket) => {
     socket.once("close", () => resolve({ type: "closed" }));
     attempt.abandon();
@@ -152,49 +153,50 @@
   });
   const upstream = createUpstream((server.address() as AddressInfo).port);
   const attempt = Attempt.create(upstream, REQUEST, platformHeaders, {
-    onHead: () => told.push("head"),
-    onBytes: () => told.push("bytes"),
-    onEnd: () => told.push("end"),
-    onFailure: () => told.push("failure"),
+    onHead: () => calls.push("head"),
+    onBytes: () => calls.push("bytes"),
+    onEnd: () => calls.push("end"),
+    onFailure: () => calls.push("failure"),
     onLateDecline: (status, answer) =>
       resolve({ type: "declined", status, answer }),
   });
-  const ending = await promise;
+  const result = await promise;
   upstream.close();
   server.close();
-  return { upstream, ending, told };
+  return { upstream, result, calls };
 }
 
-// A caller that left closed the connection on which the upstream was asking for a backoff, and the next requests went there.
-test("an abandoned attempt still records the backoff of a decline", async (t) => {
-  const { upstream, ending, told } = await abandonAt(
-    `${DECLINE}Retry-After: 5\r\nContent-Length: 0\r\n\r\n`,
+// Guards against losing a backoff: when a caller disconnected, the connection to the upstream was closed before its
+// decline arrived, so the next requests were sent to that upstream.
+test("an abandoned attempt still records the backoff of a late decline", async (t) => {
+  const { upstream, result, calls } = await abandonAttempt(
+    `${DECLINE_HEAD}Retry-After: 5\r\nContent-Length: 0\r\n\r\n`,
   );
-  t.is(ending.type === "declined" && ending.status, 503);
+  t.is(result.type === "declined" && result.status, 503);
   t.false(upstream.availability.takesRequests(performance.now()));
   t.is(upstream.ownRequests, 0);
-  t.deepEqual(told, []);
+  t.deepEqual(calls, []);
 });
 
 test("an abandoned attempt still records that its upstream is leaving", async (t) => {
-  const { upstream, ending } = await abandonAt(
-    `${DECLINE}Server-Leaving: 1\r\nContent-Length: 0\r\n\r\n`,
+  const { upstream, result } = await abandonAttempt(
+    `${DECLINE_HEAD}Server-Leaving: 1\r\nContent-Length: 0\r\n\r\n`,
   );
-  t.is(ending.type, "declined");
+  t.is(result.type, "declined");
   t.true(upstream.isLeaving);
 });
 
-test("an abandoned attempt closes its connection once its answer begins", async (t) => {
-  const { upstream, ending, told } = await abandonAt(
-    `${HEAD}Content-Length: 100\r\n\r\nhalf`,
+test("an abandoned attempt closes its connection once its response begins", async (t) => {
+  const { upstream, result, calls } = await abandonAttempt(
+    `${RESPONSE_HEAD}Content-Length: 100\r\n\r\nhalf`,
   );
-  t.is(ending.type, "closed");
+  t.is(result.type, "closed");
   t.is(upstream.ownRequests, 0);
-  t.deepEqual(told, []);
+  t.deepEqual(calls, []);
 });
 
-test("an abandoned attempt closes its connection where no answer comes", async (t) => {
-  const { ending, told } = await abandonAt("");
-  t.is(ending.type, "closed");
-  t.deepEqual(told, []);
+test("an abandoned attempt closes its connection if no response arrives", async (t) => {
+  const { result, calls } = await abandonAttempt("");
+  t.is(result.type, "closed");
+  t.deepEqual(calls, []);
 });
--- a/tests/forward/call_run_test.ts
+++ b/tests/forward/call_run_test.ts
@@ -1,30 +1,30 @@
 import test from "ava";
 import type { Upstream } from "../../src/upstreams/upstream.ts";
-import { createDeferred, runCall } from "./run_call.ts";
+import { createDeferred, forwardCall } from "./run_call.ts";
 import {
-  answered,
   type Behaviour,
-  cut,
-  declined,
-  failed,
-  proven,
+  declines,
+  failsAfterRun,
+  neverResponds,
   REQUEST_ID,
-  silent,
+  resetsConnection,
+  respondsOk,
   streams,
+  validHeaders,
 } from "./upstream_behaviours.ts";
 
-test("a request that was sent and not answered in time is not called not run", async (t) => {
+test("a request that was sent and timed out is not reported as not run", async (t) => {
   const sent = createDeferred<void>();
-  const received = await runCall(
+  const received = await forwardCall(
     [() => sent.resolve()],
     {
       timeoutMs: 60_000,
       kind: "once",
     },
     {
-      onStart: (run, route) =>
+      onStart: (forwarder, route) =>
         void sent.promise.then(() =>
-          run.applyRoute({ ...route, timeoutMs: 1 })
+          forwarder.applyRoute({ ...route, timeoutMs: 1 })
         ),
     },
   );
@@ -32,46 +32,55 @@
   t.is(received.requests.length, 1);
 });
 
-test("a request that nobody took in time is refused as not run, with a time to come back", async (t) => {
-  const received = await runCall([declined], { kind: "once" });
+test("a request that all upstreams declined is refused as not run, with a retry time", async (t) => {
+  const received = await forwardCall([declines], { kind: "once" });
   t.is(received.status, 503);
   t.truthy(received.headers.get("retry-after"));
 });
 
-test("a request that may run once is sent on after a refusal that says it was not run", async (t) => {
-  const received = await runCall([declined, answered], { kind: "once" });
+test("a request that may run once is sent to the next upstream after a decline", async (t) => {
+  const received = await forwardCall([declines, respondsOk], { kind: "once" });
   t.is(received.status, 200);
   t.is(received.requests.length, 2);
 });
 
-test("a request that may run once is not sent again after its connection broke", async (t) => {
-  const received = await runCall([cut, answered], { kind: "once" });
+test("a request that may run once is not retried after a broken connection", async (t) => {
+  const received = await forwardCall([resetsConnection, respondsOk], {
+    kind: "once",
+  });
   t.is(received.status, 502);
   t.is(received.requests.length, 1);
 });
 
-test("a repeatable request is sent again after a failure, up to the route's attempts", async (t) => {
-  const received = await runCall([failed, cut, answered], { maxAttempts: 2 });
+test("a repeatable request is retried after failures, up to the route's maximum attempts", async (t) => {
+  const received = await forwardCall(
+    [failsAfterRun, resetsConnection, respondsOk],
+    { maxAttempts: 2 },
+  );
   t.is(received.status, 502);
   t.is(received.requests.length, 2);
 });
 
-test("the last upstream's own failure is passed on unchanged", async (t) => {
-  const received = await runCall([cut, failed, answered]);
+test("the error response of the last upstream is forwarded unchanged", async (t) => {
+  const received = await forwardCall([
+    resetsConnection,
+    failsAfterRun,
+    respondsOk,
+  ]);
   t.is(received.status, 500);
   t.is(received.body, "no");
   t.is(received.headers.get("x-beechkeel-response-seal"), "proof");
 });
 
-test("a success without a proof is not passed on", async (t) => {
-  const received = await runCall([(_request, response) => {
+test("a success response without a seal is not forwarded", async (t) => {
+  const received = await forwardCall([(_request, response) => {
     response.writeHead(200, { "X-Beechkeel-Attempt-Id": REQUEST_ID }).end("x");
   }], { kind: "once" });
   t.is(received.status, 502);
 });
 
-test("a resumable stream goes on at another upstream after its last whole event", async (t) => {
-  const received = await runCall(
+test("a resumable stream continues at another upstream after its last complete event", async (t) => {
+  const received = await forwardCall(
     [streams([1, 2], "id: 3\nda", true), streams([3, 4])],
     { kind: "stream", isResumable: true },
   );
@@ -82,32 +91,34 @@
   t.is(received.requests[1]!.headers["last-event-id"], "2");
 });
 
-test("a stream that may not be resumed breaks off visibly and is not sent again", async (t) => {
-  const received = await runCall(
+test("a stream that is not resumable is aborted and not retried", async (t) => {
+  const received = await forwardCall(
     [streams([1, 2], "", true), streams([3])],
     { kind: "stream", isResumable: false },
   );
-  t.true(received.isBroken);
+  t.true(received.isTruncated);
   t.is(received.requests.length, 1);
 });
 
-test("a stream that ends within an event is not whole", async (t) => {
-  const received = await runCall(
+test("a stream that ends in the middle of an event is aborted", async (t) => {
+  const received = await forwardCall(
     [streams([1], "id: 2\nda")],
     { kind: "stream", isResumable: false },
   );
-  t.true(received.isBroken);
+  t.true(received.isTruncated);
 });
 
-test("a repeatable request goes elsewhere when its upstream is silent", async (t) => {
-  const received = await runCall([silent, answered], { objectiveMs: 60 });
+test("a repeatable request is sent to another upstream when its upstream is silent", async (t) => {
+  const received = await forwardCall([neverResponds, respondsOk], {
+    objectiveMs: 60,
+  });
   t.is(received.status, 200);
   t.is(received.outcome.attempts, 2);
 });
 
-test("a repeatable request whose answer is lost goes elsewhere though its upstream answers others", async (t) => {
-  const received = await runCall(
-    [silent, answered],
+test("a repeatable request whose response is lost is sent to another upstream, even if its upstream responds to others", async (t) => {
+  const received = await forwardCall(
+    [neverResponds, respondsOk],
     { objectiveMs: 100 },
     { prepare: ([first]) => first!.heardAt = Infinity },
   );
@@ -115,14 +126,14 @@
   t.is(received.outcome.attempts, 2);
 });
 
-test("an overdue request whose prompt is dear to read again waits on", async (t) => {
+test("an overdue request whose prompt has a costly prefill keeps waiting", async (t) => {
   const slow: Behaviour = (_request, response) =>
     void setTimeout(() => {
-      response.writeHead(200, proven());
+      response.writeHead(200, validHeaders());
       response.end("late");
     }, 90);
-  const received = await runCall(
-    [slow, answered],
+  const received = await forwardCall(
+    [slow, respondsOk],
     { objectiveMs: 100 },
     {
       prepare: ([first]) => first!.heardAt = Infinity,
@@ -136,10 +147,10 @@
 test("a request that may run once waits for a silent upstream", async (t) => {
   const slow: Behaviour = (_request, response) =>
     void setTimeout(() => {
-      response.writeHead(200, proven());
+      response.writeHead(200, validHeaders());
       response.end("late");
     }, 200);
-  const received = await runCall([slow, answered], {
+  const received = await forwardCall([slow, respondsOk], {
     kind: "once",
     objectiveMs: 20,
   });
@@ -147,15 +158,15 @@
   t.is(received.requests.length, 1);
 });
 
-test("a resumable stream that stalls goes on elsewhere", async (t) => {
+test("a resumable stream that stalls continues at another upstream", async (t) => {
   const stalls: Behaviour = (_request, response) => {
     response.writeHead(200, {
-      ...proven(),
+      ...validHeaders(),
       "Content-Type": "text/event-stream",
     });
     response.write("id: 1\ndata: x\n\n");
   };
-  const received = await runCall([stalls, streams([2])], {
+  const received = await forwardCall([stalls, streams([2])], {
     kind: "stream",
     isResumable: true,
     gapObjectiveMs: 40,
@@ -163,93 +174,101 @@
   t.is(received.body, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
 });
 
-/** Access that takes a request whose connection broke once for one that crashes upstreams, and keeps what it was told. */
+/** Crash access that allows no retry after the first call that it records. */
 function createCrashAccess() {
-  const told: string[] = [];
+  const recorded: string[] = [];
   return {
-    told,
-    maySendAgain: () => told.length === 0,
+    recorded,
+    maySendAgain: () => recorded.length === 0,
     noteBroken: (upstream: { id: string }, _request: number, part: boolean) =>
-      void told.push(`${upstream.id} ${part}`),
-    noteServed: () => void told.push("served"),
+      void recorded.push(`${upstream.id} ${part}`),
+    noteServed: () => void recorded.push("served"),
   };
 }
 
-test("a request that likely crashes upstreams is not sent to another after its connection broke", async (t) => {
+test("a request that likely crashes upstreams is not retried after a broken connection", async (t) => {
   const crashes = createCrashAccess();
-  const received = await runCall([cut, answered], { maxAttempts: 3 }, {
+  const received = await forwardCall([resetsConnection, respondsOk], {
+    maxAttempts: 3,
+  }, {
     crashes,
   });
   t.is(received.status, 502);
   t.is(received.requests.length, 1);
-  t.deepEqual(crashes.told, ["u-0 false"]);
+  t.deepEqual(crashes.recorded, ["u-0 false"]);
 });
 
-test("a request whose hold is over is sent once, whatever counts against it", async (t) => {
-  const received = await runCall([answered], {}, {
+test("a request whose hold has expired is sent once, even if the crash guard allows no retry", async (t) => {
+  const received = await forwardCall([respondsOk], {}, {
     crashes: { maySendAgain: () => false },
   });
   t.is(received.status, 200);
 });
 
-test("a broken stream is told with whether it had been answered in part, a whole answer as served", async (t) => {
+test("a broken stream is recorded with whether events were forwarded, and a complete response as served", async (t) => {
   const crashes = createCrashAccess();
   crashes.maySendAgain = () => true;
-  await runCall(
-    [streams([1], "", true), cut, streams([2])],
+  await forwardCall(
+    [streams([1], "", true), resetsConnection, streams([2])],
     { kind: "stream", isResumable: true, maxAttempts: 3 },
     { crashes },
   );
-  t.deepEqual(crashes.told, ["u-0 true", "u-1 false", "served"]);
+  t.deepEqual(crashes.recorded, ["u-0 true", "u-1 false", "served"]);
 });
 
-test("a request that is held while it is under way unanswered ends at once, and is not called not run", async (t) => {
+test("a request that becomes held while in progress and unanswered is refused at once, but not as not run", async (t) => {
   const arrived = createDeferred<void>();
-  const received = await runCall([() => arrived.resolve()], {}, {
-    onStart: (run) => void arrived.promise.then(() => run.holdBack()),
+  const received = await forwardCall([() => arrived.resolve()], {}, {
+    onStart: (forwarder) =>
+      void arrived.promise.then(() => forwarder.holdBack()),
   });
   t.is(received.status, 502);
 });
 
-test("a request that waits for its connection is withheld when its upstream asks for a backoff meanwhile", async (t) => {
+test("a request that waits for its connection is not sent if its upstream asks for a backoff meanwhile", async (t) => {
   let first: Upstream | undefined;
-  const received = await runCall([answered, answered], { kind: "once" }, {
-    prepare: ([upstream]) => first = upstream,
-    onStart: () =>
-      first!.availability.note(
-        { backoffMs: 60_000, isLeaving: false },
-        performance.now(),
-      ),
-  });
+  const received = await forwardCall(
+    [respondsOk, respondsOk],
+    { kind: "once" },
+    {
+      prepare: ([upstream]) => first = upstream,
+      onStart: () =>
+        first!.availability.note(
+          { backoffMs: 60_000, isLeaving: false },
+          performance.now(),
+        ),
+    },
+  );
   t.is(received.status, 200);
   t.is(received.outcome.attempts, 2);
   t.is(received.requests.length, 1);
 });
 
-test("a refusal of an upstream that doesn't say the request was not run is no promise to the caller", async (t) => {
+test("a refusal that does not state that the request was not run is not forwarded as such a promise", async (t) => {
   for (const status of [503, 429, 408]) {
-    const received = await runCall([(_request, response) => {
-      response.writeHead(status, { ...proven(), "Retry-After": "2" }).end();
+    const received = await forwardCall([(_request, response) => {
+      response.writeHead(status, { ...validHeaders(), "Retry-After": "2" })
+        .end();
     }], { kind: "once" });
     t.is(received.status, 502);
     t.is(received.headers.get("x-beechkeel-response-seal"), null);
   }
 });
 
-test("a refused caller is told when the upstreams may be asked again", async (t) => {
-  const received = await runCall([declined], { kind: "once" }, {
+test("a refused caller receives the retry time of the upstreams", async (t) => {
+  const received = await forwardCall([declines], { kind: "once" }, {
     retryAfterMs: 2_500,
   });
   t.is(received.status, 503);
   t.is(received.headers.get("retry-after"), "2.5");
 });
 
-test("what another upstream at the address says is not taken for the word of the one that was meant", async (t) => {
+test("the availability reported by another upstream at the same address is not recorded for the intended one", async (t) => {
   let meant: Upstream | undefined;
   const moved: Behaviour = (_request, response) => {
     response.writeHead(421, { "Server-Leaving": "1" }).end();
   };
-  await runCall([moved, answered], {}, {
+  await forwardCall([moved, respondsOk], {}, {
     prepare: ([first]) => meant = first,
   });
   t.false(meant!.isLeaving);
--- a/tests/forward/event_splitter_test.ts
+++ b/tests/forward/event_splitter_test.ts
@@ -2,15 +2,15 @@
 import test from "ava";
 import { EventSplitter } from "../../src/forward/event_splitter.ts";
 
-const END_BY_KIND = { unix: "\n", network: "\r\n" };
+const LINE_END_BY_KIND = { LF: "\n", CRLF: "\r\n" };
 
-for (const [kind, end] of Object.entries(END_BY_KIND)) {
-  test(`events are the same however their bytes are cut, with ${kind} ends of lines`, (t) => {
+for (const [kind, end] of Object.entries(LINE_END_BY_KIND)) {
+  test(`the same events are found however the bytes are split, with ${kind} line endings`, (t) => {
     const events = [1, 2, 3].map((id) =>
       `id: ${id}${end}data: x${id}${end}${end}`
     );
     const bytes = Buffer.from(events.join("") + `id: 4${end}da`);
-    const keeps = fc.property(
+    const findsAllEvents = fc.property(
       fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 1 }),
       (sizes) => {
         const splitter = EventSplitter.create();
@@ -26,6 +26,6 @@
         return found.join() === "1,2,3" && splitter.hasIncompleteEvent;
       },
     );
-    t.notThrows(() => fc.assert(keeps, { seed: 2, numRuns: 300 }));
+    t.notThrows(() => fc.assert(findsAllEvents, { seed: 2, numRuns: 300 }));
   });
 }
--- a/tests/forward/run_call.ts
+++ b/tests/forward/run_call.ts
@@ -17,26 +17,26 @@
 import { buildRoute } from "../published/build_published.ts";
 import { type Behaviour, REQUEST_ID } from "./upstream_behaviours.ts";
 
-/** What a caller of a test received. */
-export interface Received {
+/** The response that the caller received. */
+export interface ReceivedResponse {
   status: number;
   headers: Headers;
   body: string;
-  /** Whether the answer broke off. */
-  isBroken: boolean;
+  /** Whether the response was truncated. */
+  isTruncated: boolean;
   outcome: CallOutcome;
 }
-/** What differs from the usual run. */
-export interface RunCallOptions {
-  /** Told of the run when it has started. */
-  onStart?: (run: CallRun, route: Route) => void;
-  /** Told of the upstreams before the call. */
+/** Options that differ from a usual call. */
+export interface ForwardCallOptions {
+  /** Called once the first attempt has been started. */
+  onStart?: (forwarder: CallRun, route: Route) => void;
+  /** Called with the upstreams before the call. */
   prepare?: (upstreams: readonly Upstream[]) => void;
-  /** Parts of the call's prompt. */
+  /** Shared parts of the call's prompt. */
   sharedParts?: readonly SentPart[];
-  /** Time after which a refused caller may come back, as upstreams told it, in milliseconds. */
+  /** Time after which a refused caller may retry, from the upstreams' backoffs, in milliseconds. */
   retryAfterMs?: number;
-  /** What the run tells and asks of crashes. */
+  /** Overrides for the crash access. */
   crashes?: Partial<CrashAccess>;
 }
 
@@ -74,12 +74,12 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Runs one call against upstreams with the given behaviours, tried in this order. */
-export async function runCall(
+/** Forwards one call to upstreams with the given behaviours, tried in this order. */
+export async function forwardCall(
   behaviours: readonly Behaviour[],
   changes: Partial<Route> = {},
-  options: RunCallOptions = {},
-): Promise<Received & { requests: IncomingMessage[] }> {
+  options: ForwardCallOptions = {},
+): Promise<ReceivedResponse & { requests: IncomingMessage[] }> {
   const requests: IncomingMessage[] = [];
   const servers = behaviours.map((behaviour) =>
     createServer((request, response) => {
@@ -94,7 +94,7 @@
   }
   options.prepare?.(upstreams);
   const call = buildCall(buildRoute(changes), options.sharedParts ?? []);
-  const received = await callThrough(upstreams, call, options);
+  const received = await sendCall(upstreams, call, options);
   for (const upstream of upstreams) upstream.close();
   for (const server of servers) {
     server.close();
@@ -115,23 +115,23 @@
   });
 }
 
-/** A promise with the function that resolves it. */
+/** Creates a promise together with the function that resolves it. */
 export function createDeferred<T>() {
   let resolve: (value: T) => void = () => undefined;
   const promise = new Promise<T>((done) => resolve = done);
   return { promise, resolve };
 }
 
-async function callThrough(
+async function sendCall(
   upstreams: readonly Upstream[],
   call: RoutedCall,
-  { onStart, retryAfterMs, crashes }: RunCallOptions,
-): Promise<Received> {
+  { onStart, retryAfterMs, crashes }: ForwardCallOptions,
+): Promise<ReceivedResponse> {
   const ended = createDeferred<CallOutcome>();
   const loads = LoadCounts.create();
-  const front = createServer((_request, response) => {
+  const callerFacingServer = createServer((_request, response) => {
     const answer = CallerAnswer.create(response, () => false);
-    const run = CallRun.create(call, answer, {
+    const forwarder = CallRun.create(call, answer, {
       logger: pino({ level: "silent" }),
       codec: platformHeaders,
       choose: (_call, tried) => {
@@ -153,20 +153,20 @@
         noteServed: () => undefined,
         ...crashes,
       },
-      onEnd: (_run, outcome) => ended.resolve(outcome),
+      onEnd: (_forwarder, outcome) => ended.resolve(outcome),
     });
-    onStart?.(run, call.route);
+    onStart?.(forwarder, call.route);
   });
-  const port = await listen(front);
+  const port = await listen(callerFacingServer);
   const response = await fetch(`http://127.0.0.1:${port}/`);
-  let isBroken = false;
+  let isTruncated = false;
   const body = await response.text().catch(() => {
-    isBroken = true;
+    isTruncated = true;
     return "";
   });
   const outcome = await ended.promise;
-  front.close();
-  front.closeAllConnections();
+  callerFacingServer.close();
+  callerFacingServer.closeAllConnections();
   const { status, headers } = response;
-  return { status, headers, body, isBroken, outcome };
+  return { status, headers, body, isTruncated, outcome };
 }
