--- a/src/forward/silence_watch.ts
+++ b/src/forward/silence_watch.ts
@@ -2,11 +2,11 @@
 import type { Route } from "../published/configuration_schema.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
 
-/** Fraction of a route's objective without any bytes after which an upstream that failed recently counts as silent. */
+/** Fraction of a route's objective without body bytes after which an upstream that failed recently counts as silent. */
 const SUSPECT_SILENCE_RATIO = 0.5;
 /** The same for any other upstream, which may only be busy with a long prompt. */
 const HEALTHY_SILENCE_RATIO = 1;
-/** Fraction of a route's objective after which the first bytes are overdue, even if the upstream responds to other
+/** Fraction of a route's objective after which the first body bytes are overdue, even if the upstream responds to other
  * requests: single responses get lost, and the remaining time lets a request that may run again meet the objective
  * elsewhere. */
 const OVERDUE_RATIO = 0.6;
@@ -18,7 +18,7 @@
 /** Event gap objective for routes that set none, in milliseconds. */
 const DEFAULT_EVENT_GAP_MS = 1_000;
 
-/** A period in which an attempt has received no bytes. */
+/** A period in which an attempt has received no bytes of the response body. */
 export interface Silence {
   /** Duration in milliseconds. */
   silentMs: number;
@@ -34,7 +34,7 @@
   onSilence(silence: Silence): void;
 }
 
-/** Detects that an attempt has received no bytes for too long. */
+/** Detects that an attempt has received no bytes of the response body for too long. */
 export class SilenceDetector {
   private timer: NodeJS.Timeout | undefined;
   private timeoutMs = 0;
@@ -69,7 +69,7 @@
     return detector;
   }
 
-  /** Records that bytes of the response arrived. */
+  /** Records that bytes of the response body arrived. */
   recordBytes(): void {
     this.lastBytesAt = readClock();
     clearTimeout(this.overdueTimer);
