--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -39,17 +39,10 @@
     return Err(Failure.create("starting", "no configuration yet"));
   }
   if (headers.requestId === undefined) {
-    return Err(
-      Failure.create(
-        "malformed_request",
-        "request id missing, empty or repeated",
-      ),
-    );
+    return Err(Failure.create("malformed_request", "no id, or several"));
   }
   if (headers.host === undefined) {
-    return Err(
-      Failure.create("malformed_request", "host header missing or repeated"),
-    );
+    return Err(Failure.create("malformed_request", "no host, or several"));
   }
   const route = routes.getRoute(headers.host, path);
   if (!route) {
@@ -69,12 +62,7 @@
   if (route.isAnonymous || !routes.needsKeys) return Ok(undefined);
   const { key } = options.headers;
   if (!options.mayHonourKeys) {
-    return Err(
-      Failure.create(
-        "belief_too_old",
-        "the configuration is too old to accept keys",
-      ),
-    );
+    return Err(Failure.create("belief_too_old", "keys are not honoured now"));
   }
   const holder = key === undefined ? undefined : routes.getHolder(key);
   if (holder) return Ok(holder);
--- a/src/forward/attempt.ts
+++ b/src/forward/attempt.ts
@@ -152,7 +152,7 @@
       return;
     }
     this.isWithheld = true;
-    controller.abort(new Error("the upstream no longer accepts requests"));
+    controller.abort(new Error("the upstream takes no requests any more"));
   }
 
   private onHead(
@@ -176,9 +176,7 @@
     }
     if (response.isClosing) this.isReusable = false;
     if (response.requestId !== undefined && response.requestId !== requestId) {
-      return this.fail(
-        `the response belongs to another request ${response.requestId}`,
-      );
+      return this.fail(`answer to another request ${response.requestId}`);
     }
     this.hasHead = true;
     if (this.isAbandoned) return this.onLateHead(status, response);
@@ -191,7 +189,7 @@
   }
 
   private onEnd(): void {
-    if (this.channel.wasReset) return this.fail("reset during the response");
+    if (this.channel.wasReset) return this.fail("reset within the answer");
     if (!this.finish()) return;
     if (this.isReusable) this.upstream.channels.giveBack(this.channel);
     else this.channel.close();
--- a/src/forward/call_run.ts
+++ b/src/forward/call_run.ts
@@ -76,7 +76,7 @@
    * unanswered attempt is likely to crash one more upstream. */
   holdBack(): void {
     if (this.relay.hasPartialResponse) return;
-    this.refuseHeld("held while in progress");
+    this.refuseHeld("held while under way");
   }
 
   /** Fails the attempt in progress at an upstream that has restarted: its old connection may never be closed.
@@ -85,7 +85,7 @@
     if (this.isFinished || this.attempt?.upstream !== upstream) return;
     if (!this.attempt.isInProgress) return;
     this.attempt.abandon();
-    this.onFailure("broken", "the upstream has restarted");
+    this.onFailure("broken", "its upstream has started again");
   }
 
   /** Ends the call because the caller has disconnected. */
@@ -95,7 +95,7 @@
 
   private expire(): void {
     const durationMs = readClock() - this.call.receivedAt;
-    const detail = `no response within ${Math.round(durationMs)} ms`;
+    const detail = `no answer within ${Math.round(durationMs)} ms`;
     this.refuse(this.mayHaveRun ? "timed_out" : "overloaded", detail);
   }
 
@@ -133,7 +133,7 @@
     this.triedUpstreamIds.add(upstream.id);
     this.relay.startAttempt();
     const { remainingMs } = this.deadline;
-    if (remainingMs < MIN_REMAINING_MS) return this.giveUp("deadline too near");
+    if (remainingMs < MIN_REMAINING_MS) return this.giveUp("no time left");
     this.watchForSilence(upstream);
     const prompt = context.placePrompt(call, upstream);
     const load = context.noteSend(choice);
@@ -182,10 +182,7 @@
     const isForThisRequest = headers.requestId === this.call.requestId;
     if (isSuccess && !(headers.hasProof && isForThisRequest)) {
       this.attempt!.abandon();
-      return this.onFailure(
-        "broken",
-        "success response without a seal or matching request id",
-      );
+      return this.onFailure("broken", "a success without proof or id");
     }
     const isStream = isSuccess && headers.isEventStream;
     this.relay.setHead({ status, headers }, isStream);
@@ -200,7 +197,7 @@
     this.attempt = undefined;
     this.budget.recordNotRun();
     this.recordDecline(upstream, status, headers);
-    this.retryAfterDecline(`declined with status ${status}`);
+    this.retryAfterDecline(`declined with ${status}`);
   }
 
   private recordDecline(
@@ -252,7 +249,7 @@
   private onEnd(): void {
     const upstream = this.attempt!.upstream;
     const { head } = this.relay;
-    if (!head) return this.onFailure("broken", "response without headers");
+    if (!head) return this.onFailure("broken", "an end without a head");
     if (this.relay.isStream) return this.onStreamEnd(upstream);
     const { status } = head;
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
@@ -264,12 +261,12 @@
       }
       this.budget.recordRan();
       if (this.budget.spendRetryAfterRun()) {
-        return this.sendToNext(`responded with status ${status}`);
+        return this.sendToNext(`answered with ${status}`);
       }
     } else this.context.noteHealth(upstream, "good");
     // Callers read these statuses as a promise that the request has not run, which the upstream did not state.
     if (isNotRunStatus(status)) {
-      return this.refuse("upstream_failed", `responded with status ${status}`);
+      return this.refuse("upstream_failed", `answered with ${status}`);
     }
     this.relay.sendComplete();
     this.finish("answered", `status ${status}`);
@@ -277,10 +274,7 @@
 
   private onStreamEnd(upstream: Upstream): void {
     if (this.relay.hasIncompleteEvent) {
-      return this.onFailure(
-        "broken",
-        "the stream ended in the middle of an event",
-      );
+      return this.onFailure("broken", "the stream ended within an event");
     }
     this.context.noteHealth(upstream, "good");
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
