--- a/src/admission/arrival_rate.ts
+++ b/src/admission/arrival_rate.ts
@@ -1,35 +1,35 @@
-/** Time over which arrivals are counted, in milliseconds. */
-const WINDOW_MS = 1_000;
+/** Time constant of the exponential decay, in milliseconds. */
+const DECAY_TIME_MS = 1_000;
 
-/** Rate of arrivals, from a count that decays exponentially. */
+/** Estimates an arrival rate from an exponentially decaying count. */
 export class ArrivalRate {
   private count = 0;
-  private countedAt = -Infinity;
+  private updatedAt = -Infinity;
 
   private constructor() {}
 
-  /** Creates a rate of zero. */
+  /** Creates an estimator with a rate of zero. */
   static create(): ArrivalRate {
     return new ArrivalRate();
   }
 
-  /** Counts an arrival.
+  /** Records an arrival.
    * @param now Monotonic milliseconds.
-   * @param weight What it counts for. */
-  note(now: number, weight = 1): void {
-    this.count = this.getCount(now) + weight;
-    this.countedAt = now;
+   * @param weight Amount added to the count. */
+  recordArrival(now: number, weight = 1): void {
+    this.count = this.getDecayedCount(now) + weight;
+    this.updatedAt = now;
   }
 
-  /** Arrivals of the last second; the older, the less each counts.
+  /** Returns the arrivals of about the last second, weighted less the older they are.
    * @param now Monotonic milliseconds. */
-  getCount(now: number): number {
-    return this.count * Math.exp((this.countedAt - now) / WINDOW_MS);
+  getDecayedCount(now: number): number {
+    return this.count * Math.exp((this.updatedAt - now) / DECAY_TIME_MS);
   }
 
-  /** Arrivals in a millisecond.
+  /** Returns the arrivals per millisecond.
    * @param now Monotonic milliseconds. */
-  getPerMs(now: number): number {
-    return this.getCount(now) / WINDOW_MS;
+  getRatePerMs(now: number): number {
+    return this.getDecayedCount(now) / DECAY_TIME_MS;
   }
 }
--- a/src/admission/use_entry.ts
+++ b/src/admission/lru_entry.ts
@@ -1,9 +1,10 @@
-/** Returns an entry of a map that is bounded by dropping the entry used longest ago; creates it where it is missing.
- * @param entries The map, in the order of last use.
+/** Returns an entry of a size-limited map and marks it as most recently used. Creates a missing entry, evicting the
+ * least recently used one if the map exceeds its limit.
+ * @param entries The map, in order of last use.
  * @param key Key of the entry.
  * @param create Creates a missing entry.
- * @param limit Most entries. */
-export function useEntry<Key, Entry>(
+ * @param limit Maximum number of entries. */
+export function getOrCreateLruEntry<Key, Entry>(
   entries: Map<Key, Entry>,
   key: Key,
   create: () => Entry,
--- a/src/admission/residence_time.ts
+++ b/src/admission/residence_time.ts
@@ -1,7 +1,7 @@
-/** Weight of the newest request in the means. */
+/** Minimum weight of the latest request in the means. */
 const NEWEST_WEIGHT = 0.02;
 
-/** How long requests stay at an upstream, as exponentially weighted means. */
+/** Estimates how long requests stay at an upstream, as exponentially weighted means. */
 export class ResidenceTime {
   private count = 0;
   private mean = 0;
@@ -9,29 +9,29 @@
 
   private constructor() {}
 
-  /** Creates the time of no requests. */
+  /** Creates an estimator without samples. */
   static create(): ResidenceTime {
     return new ResidenceTime();
   }
 
-  /** Mean over all requests, in milliseconds; undefined before the first has ended. */
+  /** Mean duration of all requests, in milliseconds; undefined until the first one has completed. */
   get meanMs(): number | undefined {
     return this.count === 0 ? undefined : this.mean;
   }
 
-  /** Mean over the requests that are at an upstream at a random moment, in milliseconds: long ones are found there more
-   * often. Undefined before the first request has ended. */
-  get heldMeanMs(): number | undefined {
+  /** Mean duration of the requests in flight at a random moment, in milliseconds. At least `meanMs`, because long
+   * requests are more likely to be in flight. Undefined until the first request has completed. */
+  get inFlightMeanMs(): number | undefined {
     return this.count === 0 ? undefined : this.meanSquare / this.mean;
   }
 
-  /** Takes the time of a request that has ended.
-   * @param durationMs The time in milliseconds. */
-  note(durationMs: number): void {
+  /** Records the duration of a completed request.
+   * @param durationMs Duration in milliseconds. */
+  recordDuration(durationMs: number): void {
     this.count += 1;
     const weight = Math.max(NEWEST_WEIGHT, 1 / this.count);
-    const time = Math.max(1, durationMs);
-    this.mean += weight * (time - this.mean);
-    this.meanSquare += weight * (time ** 2 - this.meanSquare);
+    const sample = Math.max(1, durationMs);
+    this.mean += weight * (sample - this.mean);
+    this.meanSquare += weight * (sample ** 2 - this.meanSquare);
   }
 }
--- a/src/admission/start_admission.ts
+++ b/src/admission/start_admission.ts
@@ -1,95 +1,118 @@
 import type { Random } from "../random/random.ts";
 import type { ArrivalRate } from "./arrival_rate.ts";
-import { Popularity } from "./popularity.ts";
+import { PromptPopularity } from "./prompt_popularity.ts";
 import { ResidenceTime } from "./residence_time.ts";
 import {
-  computeEndedPart,
-  computeRoom,
-  computeStartProbability,
+  computeAdmissionProbability,
+  computeCompletedFraction,
+  computeHeadroom,
   type UpstreamLoad,
-} from "./start_probability.ts";
-import { useEntry } from "./use_entry.ts";
+} from "./admission_probability.ts";
+import { getOrCreateLruEntry } from "./lru_entry.ts";
 
-/** Services, or routes, whose times are remembered; routes come and go with each configuration. */
-const MAX_NAMES = 10_000;
+/** Maximum number of tracked services, and of tracked routes. Bounded because routes come and go with each
+ * configuration. */
+const MAX_TRACKED_NAMES = 10_000;
 
-/** A request that shares a prompt with others. */
-export interface PromptRequest {
+/** A request whose prompt is shared with other requests. */
+export interface AdmissionRequest {
   /** Name of the service. */
   service: string;
-  /** Name of the route; its requests take about as long as each other. */
+  /** Name of the route; requests of one route have similar durations. */
   route: string;
-  /** Whether this host was asked for the prompt more than once lately. */
+  /** Whether this host has recently received more than one request for the prompt. */
   isPopular: boolean;
 }
 
-/** An upstream as a host knows it when it would start a request there. */
-export interface StartTarget extends UpstreamLoad {
-  /** Other hosts that may start requests there. */
+/** An upstream that is considered for a request, as seen by this host. */
+export interface AdmissionTarget extends UpstreamLoad {
+  /** Number of other hosts that may start requests on the upstream. */
   otherHosts: number;
-  /** How often this host has considered it for popular prompts. */
+  /** Rate at which this host considers the upstream for popular prompts. */
   popularArrivals: ArrivalRate;
 }
 
-/** Decides whether this host starts a request on an upstream, so that the upstream stays within its bound although other hosts
- * decide at the same time and nobody knows yet what the others start. */
+/** Decides whether this host may start a request on an upstream. Hosts decide concurrently, without knowing which
+ * requests the others are starting, and together have to keep the upstream within its load bound. */
 export class StartAdmission {
-  private readonly popularity = Popularity.create();
-  /** Times of requests by service, and by route. */
+  private readonly popularity = PromptPopularity.create();
+  /** Residence times of requests, by service and by route. */
   private readonly services = new Map<string, ResidenceTime>();
   private readonly routes = new Map<string, ResidenceTime>();
 
   private constructor(private readonly random: Random) {}
 
-  /** Creates one that knows no requests.
-   * @param random Source of its decisions. */
+  /** Creates a controller without recorded requests.
+   * @param random Random source of the admission decisions. */
   static create(random: Random): StartAdmission {
     return new StartAdmission(random);
   }
 
-  /** Counts a request for a prompt; returns whether the prompt was popular before it.
-   * @param part Short name of the deepest part that requests share.
+  /** Records a request for a prompt and returns whether the prompt was popular before this request.
+   * @param part Hash of the deepest prompt part that is shared with other requests.
    * @param now Monotonic milliseconds. */
-  noteRequest(part: number, now: number): boolean {
-    return this.popularity.noteRequest(part, now);
+  recordRequest(part: number, now: number): boolean {
+    return this.popularity.recordRequest(part, now);
   }
 
-  /** Takes the time that a whole answer took.
+  /** Records the duration of a completed request.
    * @param service Name of the service.
    * @param route Name of the route.
-   * @param durationMs The time in milliseconds. */
+   * @param durationMs Duration in milliseconds. */
   noteCompleted(service: string, route: string, durationMs: number): void {
-    getResidence(this.services, service).note(durationMs);
-    getResidence(this.routes, route).note(durationMs);
+    getResidenceTime(this.services, service).recordDuration(durationMs);
+    getResidenceTime(this.routes, route).recordDuration(durationMs);
   }
 
-  /** Decides whether a request may be started on an upstream. Each host is taken to consider the upstream for popular prompts as
-   * often as this one. Requests for other prompts are few and are started wherever there is room.
+  /** Returns whether a request may be started on an upstream. Assumes that every host considers the upstream for
+   * popular prompts as often as this one does. Requests for other prompts are few and are admitted wherever there is
+   * headroom.
    * @param request The request.
    * @param target The upstream.
    * @param now Monotonic milliseconds. */
-  admits(request: PromptRequest, target: StartTarget, now: number): boolean {
-    const { heldMeanMs } = getResidence(this.services, request.service);
-    const room = computeRoom(target, heldMeanMs);
-    if (!request.isPopular) return room >= 0;
+  admits(
+    request: AdmissionRequest,
+    target: AdmissionTarget,
+    now: number,
+  ): boolean {
+    const { inFlightMeanMs } = getResidenceTime(
+      this.services,
+      request.service,
+    );
+    const headroom = computeHeadroom(target, inFlightMeanMs);
+    if (!request.isPopular) return headroom >= 0;
     const { popularArrivals, otherHosts, countAgeMs } = target;
-    popularArrivals.note(now, this.getRunningPart(request, countAgeMs));
-    const perHost = popularArrivals.getPerMs(now) * countAgeMs;
-    const probability = computeStartProbability(room, otherHosts * perHost);
+    popularArrivals.recordArrival(
+      now,
+      this.getRunningFraction(request, countAgeMs),
+    );
+    const startsPerHost = popularArrivals.getRatePerMs(now) * countAgeMs;
+    const probability = computeAdmissionProbability(
+      headroom,
+      otherHosts * startsPerHost,
+    );
     return this.random.fraction() < probability;
   }
 
-  /** Part of the requests started over some time that still run at its end. */
-  private getRunningPart(request: PromptRequest, overMs: number): number {
-    const { meanMs } = getResidence(this.routes, request.route);
-    if (meanMs === undefined || overMs <= 0) return 1;
-    return computeEndedPart(overMs, meanMs) * meanMs / overMs;
+  /** Returns the fraction of the requests started during a period that are still running at its end. */
+  private getRunningFraction(
+    request: AdmissionRequest,
+    periodMs: number,
+  ): number {
+    const { meanMs } = getResidenceTime(this.routes, request.route);
+    if (meanMs === undefined || periodMs <= 0) return 1;
+    return computeCompletedFraction(periodMs, meanMs) * meanMs / periodMs;
   }
 }
 
-function getResidence(
-  residences: Map<string, ResidenceTime>,
+function getResidenceTime(
+  residenceTimes: Map<string, ResidenceTime>,
   name: string,
 ): ResidenceTime {
-  return useEntry(residences, name, () => ResidenceTime.create(), MAX_NAMES);
+  return getOrCreateLruEntry(
+    residenceTimes,
+    name,
+    () => ResidenceTime.create(),
+    MAX_TRACKED_NAMES,
+  );
 }
--- a/src/placement/placement_table.ts
+++ b/src/placement/placement_table.ts
@@ -2,7 +2,7 @@
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 import type { FleetView, RouterView } from "../membership/fleet_view.ts";
 import type { Host } from "../configuration_service/host_schema.ts";
-import { namePool } from "./pool_name.ts";
+import { formatPoolName } from "./pool_name.ts";
 
 /** Virtual slots that chats are spread over; a fixed power of two. */
 const SLOT_COUNT = 16_384;
@@ -27,7 +27,7 @@
   ) {
     this.live = view.upstreams.filter((host) => host.state === "live");
     for (const host of this.live) {
-      const pool = namePool(host);
+      const pool = formatPoolName(host);
       this.pools.set(pool, [...this.pools.get(pool) ?? [], host.id]);
     }
   }
@@ -42,7 +42,7 @@
   /** Ids of all upstreams of one pool.
    * @param host An upstream of the pool. */
   getPool(host: Host): readonly string[] {
-    return this.pools.get(namePool(host)) ?? [];
+    return this.pools.get(formatPoolName(host)) ?? [];
   }
 
   /** Upstreams that could serve a request, in the order that belongs to its key.
@@ -51,19 +51,19 @@
    * @param key Key of the chat, or the request's id. */
   getCandidates(need: Requirement, key: string): readonly string[] {
     const slot = hashText(key) % SLOT_COUNT;
-    const cacheKey = `${describe(need)}#${slot}`;
+    const cacheKey = `${formatRequirement(need)}#${slot}`;
     const known = this.candidates.get(cacheKey);
     if (known) return known;
-    const hosts = this.getServing(need);
-    const near = hosts.filter((host) => host.region === this.region).map((
+    const hosts = this.getServingHosts(need);
+    const inRegion = hosts.filter((host) => host.region === this.region).map((
       host,
     ) => host.id);
-    const far = hosts.filter((host) => host.region !== this.region).map((
+    const elsewhere = hosts.filter((host) => host.region !== this.region).map((
       host,
     ) => host.id);
     const order = [
-      ...rankByRendezvous(String(slot), near),
-      ...rankByRendezvous(String(slot), far),
+      ...rankByRendezvous(String(slot), inRegion),
+      ...rankByRendezvous(String(slot), elsewhere),
     ];
     this.candidates.set(cacheKey, order);
     return order;
@@ -86,8 +86,8 @@
     return order;
   }
 
-  private getServing(need: Requirement): readonly Host[] {
-    const name = describe(need);
+  private getServingHosts(need: Requirement): readonly Host[] {
+    const name = formatRequirement(need);
     const known = this.serving.get(name);
     if (known) return known;
     const hosts = this.live.filter((host) => serves(host, need));
@@ -96,7 +96,7 @@
   }
 }
 
-function describe(need: Requirement): string {
+function formatRequirement(need: Requirement): string {
   return need.role === "engine"
     ? `engine:${need.model}`
     : `service:${need.service}`;
--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -18,7 +18,7 @@
   ) => readonly string[];
 }
 
-function byLoad(
+function orderByLoad(
   candidates: readonly string[],
   context: PolicyContext,
 ): string[] {
@@ -28,7 +28,7 @@
   );
 }
 
-function byPowerOfTwo(
+function orderByPowerOfTwo(
   candidates: readonly string[],
   context: PolicyContext,
 ): string[] {
@@ -49,8 +49,8 @@
     isBounded: false,
     order: (candidates, context) => context.random.shuffle(candidates),
   },
-  least_loaded: { isBounded: false, order: byLoad },
-  power_of_two: { isBounded: false, order: byPowerOfTwo },
+  least_loaded: { isBounded: false, order: orderByLoad },
+  power_of_two: { isBounded: false, order: orderByPowerOfTwo },
 } as const satisfies Record<string, Policy>;
 
 /** Name of a policy. */
--- a/src/random/random.ts
+++ b/src/random/random.ts
@@ -5,7 +5,7 @@
 /** Seeds are below this. */
 const MAX_SEED = 0x7fffffff;
 /** Greatest seed of a source that another draws. */
-const MAX_DRAWN_SEED = 0x3fffffff;
+const MAX_FORK_SEED = 0x3fffffff;
 
 /** A source of random numbers; seeded, so that a run can be repeated. */
 export class Random {
@@ -39,7 +39,7 @@
 
   /** Returns another source, whose seed this one draws. */
   fork(): Random {
-    return Random.create(this.integer(1, MAX_DRAWN_SEED));
+    return Random.create(this.integer(1, MAX_FORK_SEED));
   }
 
   /** Returns the items in a random order.
--- a/src/upstream/deferred_abort.ts
+++ b/src/upstream/deferred_abort.ts
@@ -3,12 +3,12 @@
 /** Aborts a request to an upstream: at once after the head of its answer, before it once a decline would have arrived. */
 export class DeferredAbort {
   private readonly controller = new AbortController();
-  private hasHead = false;
+  private hasResponseHead = false;
 
   private constructor(source: AbortSignal, sentAt: number) {
     const abort = () => this.controller.abort();
     source.addEventListener("abort", () => {
-      if (this.hasHead) abort();
+      if (this.hasResponseHead) abort();
       else closeAfterDeclineWindow(sentAt, abort);
     }, { once: true });
   }
@@ -26,7 +26,7 @@
   }
 
   /** Records that the head of the answer has arrived. */
-  recordHead(): void {
-    this.hasHead = true;
+  recordResponseHead(): void {
+    this.hasResponseHead = true;
   }
 }
--- a/src/upstream/event_stream_parser.ts
+++ b/src/upstream/event_stream_parser.ts
@@ -4,7 +4,7 @@
   engineEventSchema,
 } from "./engine_event.ts";
 
-const SEPARATOR = "\n\n";
+const EVENT_SEPARATOR = "\n\n";
 const DATA_PREFIX = "data: ";
 
 /** Whole events cut from a stream. */
@@ -19,8 +19,8 @@
 /** Cuts a stream of server-sent events into whole events and checks that each belongs to one request.
  * Throws where an event names another request, is out of order, or follows the end marker. */
 export class EventStreamParser {
-  private rest = "";
-  private hasEnded = false;
+  private buffered = "";
+  private hasReadEndMarker = false;
 
   private constructor(
     private readonly requestId: string,
@@ -38,20 +38,24 @@
    * @param text The next part, cut anywhere between characters.
    * @returns The events that are whole now. */
   push(text: string): ParsedEvents {
-    const all = this.rest + text;
-    const end = all.lastIndexOf(SEPARATOR);
+    const all = this.buffered + text;
+    const end = all.lastIndexOf(EVENT_SEPARATOR);
     if (end < 0) {
-      this.rest = all;
-      return { bytes: Buffer.alloc(0), events: [], done: this.hasEnded };
+      this.buffered = all;
+      return {
+        bytes: Buffer.alloc(0),
+        events: [],
+        done: this.hasReadEndMarker,
+      };
     }
-    const whole = all.slice(0, end + SEPARATOR.length);
-    this.rest = all.slice(end + SEPARATOR.length);
+    const whole = all.slice(0, end + EVENT_SEPARATOR.length);
+    this.buffered = all.slice(end + EVENT_SEPARATOR.length);
     const events: EngineEvent[] = [];
-    for (const line of whole.split(SEPARATOR)) {
+    for (const line of whole.split(EVENT_SEPARATOR)) {
       const event = line === "" ? undefined : this.parseLine(line);
       if (event) events.push(event);
     }
-    return { bytes: Buffer.from(whole), events, done: this.hasEnded };
+    return { bytes: Buffer.from(whole), events, done: this.hasReadEndMarker };
   }
 
   /** Number of the next event expected. */
@@ -61,13 +65,15 @@
 
   /** Whether the end marker was read. */
   get isDone(): boolean {
-    return this.hasEnded;
+    return this.hasReadEndMarker;
   }
 
   private parseLine(line: string): EngineEvent | undefined {
-    if (this.hasEnded) throw new Error("an event follows the end marker");
+    if (this.hasReadEndMarker) {
+      throw new Error("an event follows the end marker");
+    }
     if (line === DONE_LINE) {
-      this.hasEnded = true;
+      this.hasReadEndMarker = true;
       return undefined;
     }
     if (!line.startsWith(DATA_PREFIX)) {
--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -38,17 +38,17 @@
 }
 
 /** A whole answer of a service. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
 /** In every answer of an upstream that leaves. */
-const LEAVING = { name: "x-leaving", value: "true" };
+const LEAVING_HEADER = { name: "x-leaving", value: "true" };
 const CONNECT_TIMEOUT_MS = 1_000;
 const REPORT_TIMEOUT_MS = 1_000;
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 /** Speaks to one upstream over HTTP; the form of its protocol stands only here. */
 export class UpstreamClient {
@@ -56,8 +56,8 @@
   private readonly url: string;
   /** Told of what the upstream said of whether it takes requests, where that changed. */
   onAvailability: (change: AvailabilityChange) => void = () => undefined;
-  private said = this.createAvailability();
-  private leavingSaidAt = -Infinity;
+  private currentAvailability = this.createAvailability();
+  private leavingSeenAt = -Infinity;
 
   private constructor(host: Host, private readonly stallTimeoutMs: number) {
     this.url = `http://${host.address}:${host.port}`;
@@ -77,7 +77,7 @@
 
   /** What the upstream said in its answers of whether it takes requests. */
   get availability(): Availability {
-    return this.said;
+    return this.currentAvailability;
   }
 
   /** Reads the upstream's report. A report that was asked for after the upstream said it leaves, and doesn't say so, is of
@@ -90,20 +90,21 @@
       headersTimeout: REPORT_TIMEOUT_MS,
       bodyTimeout: REPORT_TIMEOUT_MS,
     });
-    this.hear(response);
+    this.recordAvailability(response);
     if (response.statusCode !== 200) throw await this.refused(response);
     const report = reportSchema.parse(await response.body.json());
-    const isOtherStart = this.said.isLeaving && !report.leaving &&
-      response.headers[LEAVING.name] === undefined &&
-      askedAt > this.leavingSaidAt;
-    if (isOtherStart) this.said = this.createAvailability();
+    const isOtherStart = this.currentAvailability.isLeaving &&
+      !report.leaving &&
+      response.headers[LEAVING_HEADER.name] === undefined &&
+      askedAt > this.leavingSeenAt;
+    if (isOtherStart) this.currentAvailability = this.createAvailability();
     return report;
   }
 
   /** Gives a fenced order; returns whether the upstream took it.
    * @param fence Revision behind the order; an upstream that checks refuses one below the last.
    * @param models Models to serve. */
-  async order(fence: number, models: readonly string[]): Promise<boolean> {
+  async sendOrder(fence: number, models: readonly string[]): Promise<boolean> {
     const response = await request(`${this.url}/orders`, {
       method: "POST",
       dispatcher: this.agent,
@@ -111,7 +112,7 @@
       body: JSON.stringify({ fence, models }),
       headersTimeout: REPORT_TIMEOUT_MS,
     });
-    this.hear(response);
+    this.recordAvailability(response);
     await response.body.dump();
     return response.statusCode === 200;
   }
@@ -130,7 +131,7 @@
       headersTimeout: REPORT_TIMEOUT_MS,
     })
       .then((response) => {
-        this.hear(response);
+        this.recordAvailability(response);
         return response.body.dump();
       }, () => undefined);
   }
@@ -161,7 +162,7 @@
 
   /** Calls a service and returns its whole answer.
    * @param work The request; one that may not be repeated goes over a connection of its own. */
-  async call(work: UpstreamRequest): Promise<ServiceAnswer> {
+  async call(work: UpstreamRequest): Promise<ServiceResponse> {
     const dispatcher = work.repeatable
       ? this.agent
       : new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS } });
@@ -170,7 +171,7 @@
       if (response.headers["x-not-run"] === "true") {
         throw await this.refused(response);
       }
-      return await this.readAnswer(response, work.requestId);
+      return await this.readResponse(response, work.requestId);
     } finally {
       if (dispatcher !== this.agent) void dispatcher.destroy();
     }
@@ -185,7 +186,7 @@
     work: UpstreamRequest,
     dispatcher: Dispatcher,
   ): Promise<Dispatcher.ResponseData> {
-    const { said } = this;
+    const { currentAvailability: said } = this;
     if (!said.takesRequests(readClock())) {
       throw UpstreamError.create("no", "the upstream takes no requests");
     }
@@ -193,9 +194,9 @@
     let wasTaken = false;
     try {
       const response = await this.dispatch(work, dispatcher);
-      this.hear(response);
+      this.recordAvailability(response);
       wasTaken = response.headers["x-not-run"] !== "true";
-      if (work.signal.aborted) throw discard(response);
+      if (work.signal.aborted) throw discardResponse(response);
       return response;
     } finally {
       if (isTrial) said.endTrial(wasTaken);
@@ -209,11 +210,13 @@
   }
 
   /** Takes what an answer says beside what it answers. */
-  private hear({ statusCode, headers }: Dispatcher.ResponseData): void {
+  private recordAvailability(
+    { statusCode, headers }: Dispatcher.ResponseData,
+  ): void {
     const now = readClock();
-    const notice = readAvailabilityNotice(statusCode, headers, LEAVING);
-    if (notice.isLeaving) this.leavingSaidAt = now;
-    this.said.note(notice, now);
+    const notice = readAvailabilityNotice(statusCode, headers, LEAVING_HEADER);
+    if (notice.isLeaving) this.leavingSeenAt = now;
+    this.currentAvailability.note(notice, now);
   }
 
   private async dispatch(
@@ -237,19 +240,19 @@
       headersTimeout: this.stallTimeoutMs,
       bodyTimeout: this.stallTimeoutMs,
     });
-    abort.recordHead();
+    abort.recordResponseHead();
     return response;
   }
 
-  private async readAnswer(
+  private async readResponse(
     response: Dispatcher.ResponseData,
     requestId: string,
-  ): Promise<ServiceAnswer> {
+  ): Promise<ServiceResponse> {
     const body = Buffer.from(await response.body.arrayBuffer());
     if (response.headers["x-request-id"] !== requestId) {
       throw UpstreamError.create("unknown", "the answer names another request");
     }
-    if (body.length > MAX_ANSWER_BYTES) {
+    if (body.length > MAX_RESPONSE_BYTES) {
       throw UpstreamError.create("unknown", "the answer exceeds the limit");
     }
     const contentType = String(
@@ -275,7 +278,7 @@
 }
 
 /** Drops an answer that nobody waits for; returns the error to throw in its place. */
-function discard(response: Dispatcher.ResponseData): UpstreamError {
+function discardResponse(response: Dispatcher.ResponseData): UpstreamError {
   response.body.destroy();
   return UpstreamError.create("unknown", "the request was aborted");
 }
--- a/src/upstreams/availability.ts
+++ b/src/upstreams/availability.ts
@@ -6,12 +6,12 @@
 /** First time for which an upstream that is full and names no time is left out while others are free, in milliseconds; it
  * doubles with each try that is turned away, for attempts at upstreams that turn all away use up the retries of requests which
  * others could serve. */
-const FIRST_FULL_MS = 150;
+const INITIAL_DECLINE_BACKOFF_MS = 150;
 /** Longest such time, in milliseconds. */
-const MAX_FULL_MS = 2_400;
+const MAX_DECLINE_BACKOFF_MS = 2_400;
 /** Requests under way unanswered from which an upstream that was left alone is used as any other; the count begins at one
  * and doubles with each that the upstream takes. */
-const LAST_TRIAL_LIMIT = 16;
+const MAX_TRIAL_LIMIT = 16;
 
 /** How what is known of an upstream's availability has changed. */
 export type AvailabilityChange = "backs_off" | "reopened" | "leaves";
@@ -24,14 +24,14 @@
   /** Told of each change. */
   onChange: (change: AvailabilityChange) => void = () => undefined;
   private backoffEndsAt = -Infinity;
-  private fullUntil = -Infinity;
+  private declineBackoffEndsAt = -Infinity;
   /** Times in a row that it was found full. */
-  private timesFull = 0;
-  private hasSaidLeaving = false;
+  private consecutiveDeclines = 0;
+  private hasAnnouncedLeaving = false;
   /** Requests that may be under way unanswered after it was left out; undefined where any number may. */
   private trialLimit: number | undefined;
   /** Requests begun after it was left out that are under way unanswered. */
-  private trials = 0;
+  private trialsInFlight = 0;
 
   private constructor() {}
 
@@ -42,20 +42,21 @@
 
   /** Whether it has said that it is leaving, which holds as long as the start lasts. */
   get isLeaving(): boolean {
-    return this.hasSaidLeaving;
+    return this.hasAnnouncedLeaving;
   }
 
   /** Whether a request may be sent at all. Whatever sends one asks this, just before the first byte leaves too.
    * @param now Monotonic milliseconds. */
   takesRequests(now: number): boolean {
-    return !this.hasSaidLeaving && now >= this.backoffEndsAt;
+    return !this.hasAnnouncedLeaving && now >= this.backoffEndsAt;
   }
 
   /** Whether it likely has room for one more; where no other upstream has, one that likely has none is asked all the same.
    * @param now Monotonic milliseconds. */
   hasRoom(now: number): boolean {
-    if (now < this.fullUntil) return false;
-    return this.trialLimit === undefined || this.trials < this.trialLimit;
+    if (now < this.declineBackoffEndsAt) return false;
+    return this.trialLimit === undefined ||
+      this.trialsInFlight < this.trialLimit;
   }
 
   /** Time that is left of the backoff that it asked for, in milliseconds, or 0.
@@ -68,7 +69,7 @@
    * @param notice What the answer says.
    * @param now Monotonic milliseconds. */
   note({ backoffMs, isLeaving }: AvailabilityNotice, now: number): void {
-    if (isLeaving) this.noteLeaving();
+    if (isLeaving) this.recordLeaving();
     if (backoffMs === undefined) return;
     const wasBackingOff = now < this.backoffEndsAt;
     const endsAt = now + Math.min(backoffMs, MAX_BACKOFF_MS);
@@ -79,41 +80,43 @@
   }
 
   /** Takes word that the upstream is leaving. */
-  noteLeaving(): void {
-    if (this.hasSaidLeaving) return;
-    this.hasSaidLeaving = true;
+  recordLeaving(): void {
+    if (this.hasAnnouncedLeaving) return;
+    this.hasAnnouncedLeaving = true;
     this.onChange("leaves");
   }
 
   /** Takes that it turned a request away and named no time. What was under way beside the first counts once.
    * @param now Monotonic milliseconds. */
   noteFull(now: number): void {
-    if (now < this.fullUntil) return;
-    const fullForMs = FIRST_FULL_MS * 2 ** this.timesFull;
-    this.fullUntil = now + Math.min(MAX_FULL_MS, fullForMs);
-    this.timesFull += 1;
+    if (now < this.declineBackoffEndsAt) return;
+    const durationMs = INITIAL_DECLINE_BACKOFF_MS *
+      2 ** this.consecutiveDeclines;
+    this.declineBackoffEndsAt = now +
+      Math.min(MAX_DECLINE_BACKOFF_MS, durationMs);
+    this.consecutiveDeclines += 1;
     this.trialLimit = 1;
   }
 
   /** Takes that it took a request. */
   noteTaken(): void {
-    this.timesFull = 0;
+    this.consecutiveDeclines = 0;
   }
 
   /** Counts a request that is being sent; returns whether it is one of those that try the upstream after it was left out. */
   beginRequest(): boolean {
     if (this.trialLimit === undefined) return false;
-    this.trials += 1;
+    this.trialsInFlight += 1;
     return true;
   }
 
   /** Takes that a request which tries the upstream was answered, or has ended.
-   * @param wasTaken Whether the upstream took it. */
-  endTrial(wasTaken: boolean): void {
-    this.trials -= 1;
-    if (!wasTaken || this.trialLimit === undefined) return;
+   * @param wasAccepted Whether the upstream took it. */
+  endTrial(wasAccepted: boolean): void {
+    this.trialsInFlight -= 1;
+    if (!wasAccepted || this.trialLimit === undefined) return;
     this.trialLimit *= 2;
-    if (this.trialLimit < LAST_TRIAL_LIMIT) return;
+    if (this.trialLimit < MAX_TRIAL_LIMIT) return;
     this.trialLimit = undefined;
     this.onChange("reopened");
   }
--- a/src/upstreams/channel.ts
+++ b/src/upstreams/channel.ts
@@ -8,9 +8,9 @@
 /** Longest idle time that an upstream's word is followed up to, in milliseconds. */
 const MAX_IDLE_TIMEOUT_MS = 60_000;
 /** Time by which a connection is closed before the upstream closes it, in milliseconds. */
-const IDLE_MARGIN_MS = 700;
+const IDLE_CLOSE_MARGIN_MS = 700;
 /** Idle time on a connection after which the system probes whether the other end is there, in milliseconds. */
-const KEEPALIVE_PROBE_MS = 1_000;
+const KEEPALIVE_PROBE_DELAY_MS = 1_000;
 
 /** One connection to an upstream, with one request on it at a time. */
 export class Channel {
@@ -25,7 +25,7 @@
       bodyTimeout: 0,
       keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeoutThreshold: IDLE_CLOSE_MARGIN_MS,
       connect: this.createConnector(),
     });
     this.client.on("disconnect", () => {
@@ -76,18 +76,18 @@
     const connect = buildConnector({
       timeout: CONNECT_TIMEOUT_MS,
       keepAlive: true,
-      keepAliveInitialDelay: KEEPALIVE_PROBE_MS,
+      keepAliveInitialDelay: KEEPALIVE_PROBE_DELAY_MS,
     });
     return (options, callback) =>
       connect(options, (...result) => {
-        if (result[1]) this.watchForReset(result[1]);
+        if (result[1]) this.detectReset(result[1]);
         callback(...result);
       });
   }
 
   /** Notes a reset. Where it comes together with the last bytes, the event loop reports a plain end; a socket that was
    * reset then has no other side any more, while one that was ended well still names its address. */
-  private watchForReset(socket: Socket): void {
+  private detectReset(socket: Socket): void {
     socket.once("error", () => this.hasFailed = true);
     socket.prependOnceListener("end", () => {
       if (socket.remoteAddress === undefined) this.hasFailed = true;
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -6,12 +6,12 @@
 import type { Upstream } from "./upstream.ts";
 
 /** Requests above the multiple of the mean that the promise allows. */
-const BOUND_EXTRA = 3;
+const BOUND_EXTRA_REQUESTS = 3;
 /** Reading ahead of an engine from which a prompt that none keeps goes to the next in its order, in milliseconds: below
  * half of the objectives of first events, and above what most prompts take. */
-const BUSY_READING_MS = 150;
+const MAX_PREFILL_BACKLOG_MS = 150;
 /** What an upstream in another hall costs against one in this, as a part of an upstream's slots. */
-const COST_OF_OTHER_HALL = 0.15;
+const OTHER_HALL_COST = 0.15;
 
 /** What an upstream was chosen by: the prompt is kept there, the prompt's order of engines, or the least cost. */
 export type ChoiceBasis = "kept_prompt" | "prompt_order" | "least_cost";
@@ -59,16 +59,16 @@
   const untried = options.candidates.filter((upstream) =>
     !options.tried.has(upstream.id)
   );
-  const sound = untried.filter((upstream) =>
+  const notEjected = untried.filter((upstream) =>
     !upstream.health.isEjected(options.now)
   );
-  const free = sound.filter((upstream) =>
+  const withCapacity = notEjected.filter((upstream) =>
     upstream.availability.hasRoom(options.now)
   );
-  const trusted = options.isCautious
-    ? free.filter((upstream) => !upstream.health.isSuspect)
-    : free;
-  const usable = [trusted, free, sound, untried].find((list) =>
+  const preferred = options.isCautious
+    ? withCapacity.filter((upstream) => !upstream.health.isSuspect)
+    : withCapacity;
+  const usable = [preferred, withCapacity, notEjected, untried].find((list) =>
     list.length > 0
   );
   if (usable === undefined) return undefined;
@@ -76,32 +76,36 @@
   const upstreams = { usable, bound };
   return options.sharedParts.length === 0
     ? chooseLeastCost(upstreams, options)
-    : choosePrompted(upstreams, options);
+    : chooseByPrompt(upstreams, options);
 }
 
 /** The upstreams that are left to choose from, and the requests that each may hold. */
-interface BoundedUpstreams {
+interface UsableUpstreams {
   usable: readonly Upstream[];
   bound: number;
 }
 
 /** An engine that keeps the prompt, else the first in the prompt's order, as long as it may get one more request; where
  * none may, the least cost decides. */
-function choosePrompted(
-  upstreams: BoundedUpstreams,
+function chooseByPrompt(
+  upstreams: UsableUpstreams,
   options: ChoiceOptions,
 ): UpstreamChoice {
   const { usable, bound } = upstreams;
   const { sharedParts, prefixes, now } = options;
   const lastPart = sharedParts.at(-1)!.name;
-  const mayStart = createStartCheck(lastPart, bound, options);
+  const mayStart = createAdmissionCheck(lastPart, bound, options);
   const isKeeping = (upstream: Upstream) =>
     prefixes.isKept(lastPart, upstream.shortName, now);
   // All are ranked only where none that keeps the prompt has room: that costs a hash for each of them.
   const kept = rankForPart(lastPart, usable.filter(isKeeping)).find(mayStart);
   if (kept) return { upstream: kept, basis: "kept_prompt", bound };
   const others = usable.filter((upstream) => !isKeeping(upstream));
-  const placed = findPlace(rankForPart(lastPart, others), mayStart, options);
+  const placed = findFirstAdmitting(
+    rankForPart(lastPart, others),
+    mayStart,
+    options,
+  );
   if (placed) return { upstream: placed, basis: "prompt_order", bound };
   return chooseLeastCost(upstreams, options);
 }
@@ -115,7 +119,8 @@
   const present = options.present.length > 0 ? options.present : usable;
   const usableMean = computeMeanLoad(usable, options);
   const presentMean = computeMeanLoad(present, options);
-  const toBound = (mean: number) => options.boundMultiple * mean + BOUND_EXTRA;
+  const toBound = (mean: number) =>
+    options.boundMultiple * mean + BOUND_EXTRA_REQUESTS;
   const bound = toBound(Math.min(usableMean, presentMean));
   return bound >= usableMean ? bound : toBound(usableMean);
 }
@@ -125,27 +130,27 @@
   { loads, now }: ChoiceOptions,
 ): number {
   const total = upstreams.reduce(
-    (sum, one) => sum + loads.getTotal(one, now),
+    (sum, one) => sum + loads.getTotalRequests(one, now),
     0,
   );
   return total / upstreams.length;
 }
 
 /** Creates the check whether this host may start a request for a prompt on an upstream. */
-function createStartCheck(
+function createAdmissionCheck(
   part: number,
   bound: number,
   options: ChoiceOptions,
 ): (upstream: Upstream) => boolean {
   const { admission, loads, service, route, now } = options;
-  const isPopular = admission.noteRequest(part, now);
-  const { countedHosts, countAgeMs } = loads.getAges(now);
+  const isPopular = admission.recordRequest(part, now);
+  const { countedHosts, countAgeMs } = loads.getCountAges(now);
   return (upstream) => {
     const own = upstream.ownRequests;
     const target = {
       bound,
       own,
-      foreign: loads.getTotal(upstream, now) - own,
+      foreign: loads.getTotalRequests(upstream, now) - own,
       countAgeMs,
       otherHosts: countedHosts,
       popularArrivals: upstream.popularArrivals,
@@ -162,13 +167,14 @@
 }
 
 /** The first engine that is not reading far ahead and may get the request, else the first of the others that may. */
-function findPlace(
+function findFirstAdmitting(
   ranked: readonly Upstream[],
   mayStart: (upstream: Upstream) => boolean,
   { prefixes, now }: ChoiceOptions,
 ): Upstream | undefined {
   const isReading = (upstream: Upstream) =>
-    prefixes.getReadingMs(upstream.shortName, now) >= BUSY_READING_MS;
+    prefixes.getPrefillBacklogMs(upstream.shortName, now) >=
+      MAX_PREFILL_BACKLOG_MS;
   return ranked.find((upstream) =>
     !isReading(upstream) && mayStart(upstream)
   ) ??
@@ -177,11 +183,13 @@
 
 /** The upstream of the least cost among those below the bound, else among all. */
 function chooseLeastCost(
-  { usable, bound }: BoundedUpstreams,
+  { usable, bound }: UsableUpstreams,
   options: ChoiceOptions,
 ): UpstreamChoice {
   const { loads, now } = options;
-  const below = usable.filter((one) => loads.getTotal(one, now) < bound);
+  const below = usable.filter((one) =>
+    loads.getTotalRequests(one, now) < bound
+  );
   const candidates = below.length > 0 ? below : usable;
   const costs = new Map(
     candidates.map((one) => [one, estimateCost(one, options)]),
@@ -195,9 +203,9 @@
 /** Expected time of one more request, in units of an unloaded upstream's. */
 function estimateCost(upstream: Upstream, options: ChoiceOptions): number {
   const { loads, now } = options;
-  const load = loads.getTotal(upstream, now) / upstream.published.slots;
+  const load = loads.getTotalRequests(upstream, now) / upstream.published.slots;
   const distance = upstream.published.hall === options.hall
     ? 0
-    : COST_OF_OTHER_HALL;
+    : OTHER_HALL_COST;
   return load + distance + upstream.health.rate;
 }
--- a/src/upstreams/channel_pool.ts
+++ b/src/upstreams/connection_pool.ts
@@ -1,7 +1,7 @@
 import { Channel } from "./channel.ts";
 
 /** The connections to one upstream that carry no request at the moment. */
-export class ChannelPool {
+export class ConnectionPool {
   private readonly idle: Channel[] = [];
   private isClosed = false;
 
@@ -9,8 +9,8 @@
 
   /** Creates an empty pool.
    * @param address Address of the upstream, as ip:port. */
-  static create(address: string): ChannelPool {
-    return new ChannelPool(address);
+  static create(address: string): ConnectionPool {
+    return new ConnectionPool(address);
   }
 
   /** Takes the channel that was used last, or a new one. */
--- a/src/upstreams/find_fetch_source.ts
+++ b/src/upstreams/find_fetch_source.ts
@@ -33,15 +33,15 @@
   target: Upstream,
   engines: readonly Upstream[],
 ): Upstream | undefined {
-  const first = chooseFirst(parts, engines);
+  const first = findFirstRanked(parts, engines);
   if (first !== target) return first;
   const older = engines.filter((engine) =>
     engine.published.arrival < target.published.arrival
   );
-  return chooseFirst(parts, older);
+  return findFirstRanked(parts, older);
 }
 
-function chooseFirst(
+function findFirstRanked(
   parts: readonly SentPart[],
   engines: readonly Upstream[],
 ): Upstream | undefined {
--- a/src/upstreams/load_counts.ts
+++ b/src/upstreams/load_counts.ts
@@ -2,17 +2,17 @@
 import type { Upstream } from "./upstream.ts";
 
 /** Age up to which an upstream's own word of its load is used, in milliseconds. */
-const REPORT_USED_FOR_MS = 400;
+const MAX_REPORT_AGE_MS = 400;
 
 /** Time for which the sum of hosts' counts is used where nothing is told, in milliseconds; counts that are too old by
  * then are left out. */
-const SUM_USED_FOR_MS = 100;
+const SUM_LIFETIME_MS = 100;
 
 /** An upstream's short name, and the requests that a host has running there. */
 export type LoadCount = [upstream: number, requests: number];
 
 /** What a host told of its requests. */
-export interface HostCounts {
+export interface HostLoadReport {
   /** Monotonic milliseconds at which the host told this, as far as is known. */
   toldAt: number;
   /** Monotonic milliseconds up to which the counts are used. */
@@ -24,12 +24,12 @@
 /** The requests on each upstream: exact for this process, and for other hosts as they last told. */
 export class LoadCounts {
   /** By id of the host, what it last told. */
-  private readonly hosts = new Map<string, HostCounts>();
+  private readonly hosts = new Map<string, HostLoadReport>();
   /** By short name of the upstream, the requests of all other hosts. */
   private foreign = new Map<number, number>();
   /** Hosts whose counts are in that sum, and the sum and the least of the moments at which they told. */
   private counted = { hosts: 0, toldAtSum: 0, firstToldAt: Infinity };
-  private summedUntil = -Infinity;
+  private sumExpiresAt = -Infinity;
 
   private constructor() {}
 
@@ -41,19 +41,19 @@
   /** Takes over what a host told.
    * @param hostId The host.
    * @param told What it told. */
-  record(hostId: string, told: HostCounts): void {
+  record(hostId: string, told: HostLoadReport): void {
     this.hosts.set(hostId, told);
-    this.summedUntil = -Infinity;
+    this.sumExpiresAt = -Infinity;
   }
 
   /** Requests on an upstream from all hosts: as hosts told, or where that is more as it told itself just now.
    * @param upstream The upstream.
    * @param now Monotonic milliseconds. */
-  getTotal(upstream: Upstream, now: number): number {
-    const told = upstream.ownRequests + this.getForeign(upstream, now);
+  getTotalRequests(upstream: Upstream, now: number): number {
+    const told = upstream.ownRequests + this.getForeignRequests(upstream, now);
     const report = upstream.reported;
     const isNew = report !== undefined &&
-      now - report.at <= REPORT_USED_FOR_MS;
+      now - report.at <= MAX_REPORT_AGE_MS;
     return isNew ? Math.max(told, report.requests) : told;
   }
 
@@ -63,9 +63,9 @@
   getSnapshot(upstream: Upstream, now: number): LoadSnapshot {
     const { reported: report } = upstream;
     return {
-      ...this.getAges(now),
+      ...this.getCountAges(now),
       own: upstream.ownRequests,
-      foreign: this.getForeign(upstream, now),
+      foreign: this.getForeignRequests(upstream, now),
       reported: report?.requests,
       reportAgeMs: report && now - report.at,
     };
@@ -73,8 +73,8 @@
 
   /** How old other hosts' counts are.
    * @param now Monotonic milliseconds. */
-  getAges(now: number): CountAges {
-    if (now >= this.summedUntil) this.sumUp(now);
+  getCountAges(now: number): CountAges {
+    if (now >= this.sumExpiresAt) this.updateSum(now);
     const { hosts, toldAtSum, firstToldAt } = this.counted;
     if (hosts === 0) {
       return { countedHosts: 0, countAgeMs: 0, oldestCountAgeMs: 0 };
@@ -96,12 +96,12 @@
     return counts;
   }
 
-  private getForeign(upstream: Upstream, now: number): number {
-    if (now >= this.summedUntil) this.sumUp(now);
+  private getForeignRequests(upstream: Upstream, now: number): number {
+    if (now >= this.sumExpiresAt) this.updateSum(now);
     return this.foreign.get(upstream.shortName) ?? 0;
   }
 
-  private sumUp(now: number): void {
+  private updateSum(now: number): void {
     const sums = new Map<number, number>();
     const counted = { hosts: 0, toldAtSum: 0, firstToldAt: Infinity };
     for (const [hostId, { usedUntil, toldAt, counts }] of this.hosts) {
@@ -118,6 +118,6 @@
     }
     this.foreign = sums;
     this.counted = counted;
-    this.summedUntil = now + SUM_USED_FOR_MS;
+    this.sumExpiresAt = now + SUM_LIFETIME_MS;
   }
 }
--- a/src/upstreams/prefix_index.ts
+++ b/src/upstreams/prefix_index.ts
@@ -2,15 +2,15 @@
 
 /** Time for which an engine is taken to keep what it read, in milliseconds: rereading costs only where a part was used
  * within about ten seconds, and memory lasts some times as long. */
-const KEPT_FOR_MS = 30_000;
+const CACHE_RETENTION_MS = 30_000;
 /** Time after which it is told again that an engine keeps a part that goes on being used, in milliseconds. */
-const TELL_AGAIN_MS = 5_000;
+const REPEAT_INTERVAL_MS = 5_000;
 /** Parts remembered; the one unused longest gives way. */
 const MAX_PARTS = 50_000;
 /** Facts told to other hosts at a time, so that they fit into one packet. */
-const MAX_FACTS = 80;
+const MAX_UPDATES_PER_DATAGRAM = 80;
 /** Time that an engine takes to read a token of a prompt, in milliseconds: those served today read some 48 in one. */
-const READING_MS_PER_TOKEN = 1 / 48;
+const PREFILL_MS_PER_TOKEN = 1 / 48;
 
 /** That an engine was sent a part of a prompt: short names of the part and of the engine, and the tokens that the
  * engine had to read for it, 0 where it kept the part or fetched it. */
@@ -30,7 +30,7 @@
  * @param parts The parts. */
 export function estimateReadingMs(parts: readonly SentPart[]): number {
   return parts.reduce(
-    (sum, { tokens }) => sum + tokens * READING_MS_PER_TOKEN,
+    (sum, { tokens }) => sum + tokens * PREFILL_MS_PER_TOKEN,
     0,
   );
 }
@@ -40,11 +40,11 @@
   /** By part, the engines with the monotonic milliseconds of the last request. */
   private readonly engines = new Map<number, Map<number, number>>();
   /** By engine, the monotonic milliseconds at which it has read what it was sent. */
-  private readonly readyAt = new Map<number, number>();
+  private readonly prefillEndsAt = new Map<number, number>();
   /** By part and engine, the monotonic milliseconds at which other hosts were last told. */
-  private readonly toldAt = new Map<number, Map<number, number>>();
-  private untold: PrefixFact[] = [];
-  private isWhole = false;
+  private readonly announcedAt = new Map<number, Map<number, number>>();
+  private pendingUpdates: PrefixFact[] = [];
+  private isMarkedComplete = false;
 
   private constructor() {}
 
@@ -61,12 +61,12 @@
 
   /** Whether this holds all that is to be known, rather than what came up since a start. */
   get isComplete(): boolean {
-    return this.isWhole;
+    return this.isMarkedComplete;
   }
 
   /** Whether there are facts that were not told; where many came at once, more than one telling is needed. */
   get hasUntold(): boolean {
-    return this.untold.length > 0;
+    return this.pendingUpdates.length > 0;
   }
 
   /** Records that this host sends parts to an engine.
@@ -83,38 +83,38 @@
     for (const { name, tokens } of parts) {
       const isRead = !isFetched && !this.isKept(name, engine, now);
       const readTokens = isRead ? tokens : 0;
-      this.put([name, engine, readTokens], now);
-      this.queue([name, engine, readTokens], now);
+      this.applyUpdate([name, engine, readTokens], now);
+      this.enqueueUpdate([name, engine, readTokens], now);
     }
   }
 
   /** Time until an engine has read the shared parts it was sent, in milliseconds.
    * @param engine Short name of the engine.
    * @param now Monotonic milliseconds. */
-  getReadingMs(engine: number, now: number): number {
-    return Math.max(0, (this.readyAt.get(engine) ?? now) - now);
+  getPrefillBacklogMs(engine: number, now: number): number {
+    return Math.max(0, (this.prefillEndsAt.get(engine) ?? now) - now);
   }
 
   /** Declares that all that is to be known was learned. */
   markComplete(): void {
-    this.isWhole = true;
+    this.isMarkedComplete = true;
   }
 
   /** Records what another host told.
    * @param facts The facts.
    * @param now Monotonic milliseconds. */
   learn(facts: readonly PrefixFact[], now: number): void {
-    for (const fact of facts) this.put(fact, now);
+    for (const fact of facts) this.applyUpdate(fact, now);
   }
 
   /** The facts to tell other hosts in one datagram; each is given once. */
   takeFacts(): PrefixFact[] {
-    return this.untold.splice(0, MAX_FACTS);
+    return this.pendingUpdates.splice(0, MAX_UPDATES_PER_DATAGRAM);
   }
 
   /** All facts to tell other hosts; each is given once. */
   takeAllFacts(): PrefixFact[] {
-    return this.untold.splice(0);
+    return this.pendingUpdates.splice(0);
   }
 
   /** The facts used last, for a host that has just started.
@@ -124,7 +124,7 @@
     const facts: PrefixFact[] = [];
     for (const [part, keepings] of [...this.engines].reverse()) {
       for (const [engine, usedAt] of keepings) {
-        if (now - usedAt < KEPT_FOR_MS) facts.push([part, engine, 0]);
+        if (now - usedAt < CACHE_RETENTION_MS) facts.push([part, engine, 0]);
       }
       if (facts.length >= limit) break;
     }
@@ -137,7 +137,7 @@
    * @param now Monotonic milliseconds. */
   isKept(part: number, engine: number, now: number): boolean {
     const at = this.engines.get(part)?.get(engine);
-    return at !== undefined && now - at < KEPT_FOR_MS;
+    return at !== undefined && now - at < CACHE_RETENTION_MS;
   }
 
   /** Whether any engine is taken to keep a part.
@@ -152,7 +152,7 @@
    * @param now Monotonic milliseconds. */
   getSightings(part: number, now: number): PrefixSighting[] {
     return [...this.engines.get(part) ?? []].filter(([, usedAt]) =>
-      now - usedAt < KEPT_FOR_MS
+      now - usedAt < CACHE_RETENTION_MS
     ).map(([engine, usedAt]) => [engine, Math.round(now - usedAt)]);
   }
 
@@ -168,14 +168,20 @@
     for (const [engine, agoMs] of sightings) {
       const usedAt = now - Math.max(0, agoMs);
       const known = this.engines.get(part)?.get(engine) ?? -Infinity;
-      if (usedAt > known) this.put([part, engine, 0], usedAt);
+      if (usedAt > known) this.applyUpdate([part, engine, 0], usedAt);
     }
   }
 
-  private put([part, engine, readTokens]: PrefixFact, now: number): void {
+  private applyUpdate(
+    [part, engine, readTokens]: PrefixFact,
+    now: number,
+  ): void {
     if (readTokens > 0) {
-      const startsAt = Math.max(now, this.readyAt.get(engine) ?? now);
-      this.readyAt.set(engine, startsAt + readTokens * READING_MS_PER_TOKEN);
+      const startsAt = Math.max(now, this.prefillEndsAt.get(engine) ?? now);
+      this.prefillEndsAt.set(
+        engine,
+        startsAt + readTokens * PREFILL_MS_PER_TOKEN,
+      );
     }
     const known = this.engines.get(part) ?? new Map<number, number>();
     known.set(engine, now);
@@ -184,16 +190,16 @@
     if (this.engines.size <= MAX_PARTS) return;
     const [oldest] = this.engines.keys();
     this.engines.delete(oldest!);
-    this.toldAt.delete(oldest!);
+    this.announcedAt.delete(oldest!);
   }
 
-  private queue(fact: PrefixFact, now: number): void {
+  private enqueueUpdate(fact: PrefixFact, now: number): void {
     const [part, engine] = fact;
-    const told = this.toldAt.get(part) ?? new Map<number, number>();
+    const told = this.announcedAt.get(part) ?? new Map<number, number>();
     const last = told.get(engine) ?? -Infinity;
-    if (now - last < TELL_AGAIN_MS) return;
+    if (now - last < REPEAT_INTERVAL_MS) return;
     told.set(engine, now);
-    this.toldAt.set(part, told);
-    this.untold.push(fact);
+    this.announcedAt.set(part, told);
+    this.pendingUpdates.push(fact);
   }
 }
--- a/src/upstreams/read_availability_notice.ts
+++ b/src/upstreams/read_availability_notice.ts
@@ -2,7 +2,7 @@
 import type { AvailabilityNotice } from "./availability_notice.ts";
 
 /** Status codes with which an upstream turns a request away. */
-const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503]);
+const DECLINE_STATUS_CODES: ReadonlySet<number> = new Set([429, 503]);
 
 /** The header by which a protocol says that an upstream is leaving. */
 export interface LeavingHeader {
@@ -22,7 +22,7 @@
 ): AvailabilityNotice {
   const said = [headers[leaving.name] ?? []].flat();
   return {
-    backoffMs: TURNED_AWAY.has(status)
+    backoffMs: DECLINE_STATUS_CODES.has(status)
       ? readRetryAfter(headers["retry-after"], headers["date"])
       : undefined,
     isLeaving: said.some((value) => value.trim() === leaving.value),
--- a/src/upstreams/retry_share.ts
+++ b/src/upstreams/retry_share.ts
@@ -1,9 +1,9 @@
 import type { Random } from "../random/random.ts";
 
 /** Part of the fleet's retry budget that is used; the rest is kept for what hosts cannot know of each other. */
-const USED_PART = 0.7;
+const USED_FRACTION = 0.7;
 /** Slots that a window is counted in. */
-const WINDOW_SLOTS = 10;
+const SLOTS_PER_WINDOW = 10;
 
 /** What the budget of the fleet is. */
 export interface RetryBudgetOptions {
@@ -55,15 +55,15 @@
     const retries = this.slots.reduce((sum, one) => sum + one.retries, 0);
     const { ratio, extra, countHosts } = this.options;
     const allowed = ratio * requests + extra / Math.max(1, countHosts());
-    if (retries + this.rounding >= USED_PART * allowed) return false;
+    if (retries + this.rounding >= USED_FRACTION * allowed) return false;
     slot.retries += 1;
     return true;
   }
 
   private getSlot(now: number): Slot {
-    const number = Math.floor(now / (this.options.windowMs / WINDOW_SLOTS));
+    const number = Math.floor(now / (this.options.windowMs / SLOTS_PER_WINDOW));
     this.slots = this.slots.filter((slot) =>
-      slot.number > number - WINDOW_SLOTS
+      slot.number > number - SLOTS_PER_WINDOW
     );
     const last = this.slots.at(-1);
     if (last?.number === number) return last;
--- a/src/upstreams/upstream.ts
+++ b/src/upstreams/upstream.ts
@@ -2,13 +2,13 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PublishedUpstream } from "../published/upstream_schema.ts";
 import { Availability } from "./availability.ts";
-import { ChannelPool } from "./channel_pool.ts";
+import { ConnectionPool } from "./connection_pool.ts";
 import { UpstreamHealth } from "./upstream_health.ts";
 
 /** One upstream as this process knows and uses it. */
 export class Upstream {
   /** Connections to it. */
-  readonly channels: ChannelPool;
+  readonly channels: ConnectionPool;
   /** What its answers say of its health. */
   readonly health = UpstreamHealth.create();
   /** What its answers say of whether it takes requests. */
@@ -25,11 +25,11 @@
   /** Requests that it told of itself with an answer, running and waiting, and the monotonic milliseconds of that. */
   reported: { requests: number; at: number } | undefined;
   /** Monotonic milliseconds up to which it is used although its entry is missing; undefined while it is listed. */
-  usedUntil: number | undefined;
+  lapseEndsAt: number | undefined;
   /** Monotonic milliseconds at which this start was found to have crashed. */
   crashedAt = -Infinity;
   /** Whether it is gone from the list, or another has its address. */
-  isDropped = false;
+  isRemoved = false;
 
   private constructor(
     /** What it last published. */
@@ -37,8 +37,8 @@
     availability: Availability,
   ) {
     this.availability = availability;
-    this.channels = ChannelPool.create(published.address);
-    this.shortName = hashText(nameStart(published));
+    this.channels = ConnectionPool.create(published.address);
+    this.shortName = hashText(formatInstanceName(published));
   }
 
   /** Creates an upstream.
@@ -68,7 +68,7 @@
 
   /** Whether its end is no surprise: it has said that it leaves, or is gone from the list. */
   get isEndExpected(): boolean {
-    return this.isLeaving || this.isDropped;
+    return this.isLeaving || this.isRemoved;
   }
 
   /** Whether a start that an answer tells is another than this one, as far as both are known.
@@ -81,7 +81,7 @@
   /** Whether it is likely there, so that other upstreams can fetch from it.
    * @param now Monotonic milliseconds. */
   isWithinReach(now: number): boolean {
-    return this.health.isWithinReach(this.heardAt, now);
+    return this.health.isReachable(this.heardAt, now);
   }
 
   /** Closes the idle connections; those in use close with their request. */
@@ -90,6 +90,6 @@
   }
 }
 
-function nameStart({ id, startedAt }: PublishedUpstream): string {
+function formatInstanceName({ id, startedAt }: PublishedUpstream): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`;
 }
--- a/src/upstreams/upstream_health.ts
+++ b/src/upstreams/upstream_health.ts
@@ -1,14 +1,14 @@
 /** Rate of faults from which an upstream is a suspect. */
-const SUSPECT_RATE = 0.1;
+const SUSPECT_FAULT_RATE = 0.1;
 /** Rate of faults above which an upstream is left out. */
 const FAULT_EJECTION_RATE = 0.33;
 /** Rate of error answers above which an upstream is left out; well above what a request's own content causes. */
 const ERROR_EJECTION_RATE = 0.5;
 /** Time after a broken connection for which an upstream that was not heard since is not taken to be within reach, in
  * milliseconds. */
-const OUT_OF_REACH_MS = 3_000;
+const UNREACHABLE_FOR_MS = 3_000;
 /** First time for which an upstream is left out, in milliseconds; it doubles while failures go on. */
-const FIRST_EJECTION_MS = 1_000;
+const INITIAL_EJECTION_MS = 1_000;
 /** Longest time for which an upstream is left out, in milliseconds. */
 const MAX_EJECTION_MS = 6_000;
 
@@ -21,14 +21,14 @@
   | "unreachable";
 
 /** What one sign adds: its weight in the rate of faults, and in that of error answers. */
-interface SignWeights {
+interface SignalWeights {
   fault: number;
   error: number;
 }
 
 /** Two silences in a row leave an upstream out, for one may come from a long prompt of another request; a connection
  * that broke does so alone. */
-const WEIGHTS: Readonly<Record<HealthSign, SignWeights>> = {
+const SIGNAL_WEIGHTS: Readonly<Record<HealthSign, SignalWeights>> = {
   good: { fault: 0.12, error: 0.1 },
   error_answer: { fault: 0.12, error: 0.1 },
   broken: { fault: 0.34, error: 0 },
@@ -58,7 +58,7 @@
 
   /** Whether faults were seen lately. */
   get isSuspect(): boolean {
-    return this.faultRate >= SUSPECT_RATE;
+    return this.faultRate >= SUSPECT_FAULT_RATE;
   }
 
   /** Whether the upstream is left out for now.
@@ -71,8 +71,8 @@
    * answers still gives others what it keeps.
    * @param heardAt Monotonic milliseconds at which any of its answers last brought bytes.
    * @param now Monotonic milliseconds. */
-  isWithinReach(heardAt: number, now: number): boolean {
-    return heardAt > this.brokenAt || now - this.brokenAt >= OUT_OF_REACH_MS;
+  isReachable(heardAt: number, now: number): boolean {
+    return heardAt > this.brokenAt || now - this.brokenAt >= UNREACHABLE_FOR_MS;
   }
 
   /** Records how an attempt ended.
@@ -80,7 +80,7 @@
    * @param now Monotonic milliseconds.
    * @returns Time for which the upstream is now left out, in milliseconds, or 0. */
   note(sign: HealthSign, now: number): number {
-    const { fault, error } = WEIGHTS[sign];
+    const { fault, error } = SIGNAL_WEIGHTS[sign];
     const isFault = sign !== "good" && sign !== "error_answer";
     const isError = sign === "error_answer";
     this.faultRate += fault * (Number(isFault) - this.faultRate);
@@ -90,15 +90,15 @@
     }
     if (sign === "good" && !this.isSuspect) this.ejections = 0;
     if (sign === "good" || this.isEjected(now)) return 0;
-    const isUnsound = this.faultRate > FAULT_EJECTION_RATE ||
+    const exceedsThreshold = this.faultRate > FAULT_EJECTION_RATE ||
       this.errorRate > ERROR_EJECTION_RATE;
-    return isUnsound ? this.eject(now) : 0;
+    return exceedsThreshold ? this.eject(now) : 0;
   }
 
   private eject(now: number): number {
     const duration = Math.min(
       MAX_EJECTION_MS,
-      FIRST_EJECTION_MS * 2 ** this.ejections,
+      INITIAL_EJECTION_MS * 2 ** this.ejections,
     );
     this.ejections += 1;
     this.ejectedUntil = now + duration;
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -8,17 +8,17 @@
 
 /** Part of the time in which a leaving upstream may get work for which one that disappeared just after an outage of the
  * platform is used at most: entries that lapsed meanwhile come back within two seconds. */
-const LAPSE_GRACE_PART = 0.8;
+const LAPSE_GRACE_FRACTION = 0.8;
 /** Time for which an upstream that is gone from the list is still taken to be there, in milliseconds: leaving ones
  * serve on for a little longer than the two seconds after which they get no new work. */
-const DEPARTED_KEPT_MS = 3_000;
+const UNLISTED_RETENTION_MS = 3_000;
 
 /** Time for which an upstream that crashed gets nothing, in milliseconds: about as long as its entry stays, and a start
  * takes. */
-const CRASHED_FOR_MS = 3_000;
+const CRASH_EXCLUSION_MS = 3_000;
 
 /** Starts that are remembered after they were taken out; above what lapses at once in the largest fleet. */
-const MAX_DROPPED = 10_000;
+const MAX_REMEMBERED_INSTANCES = 10_000;
 
 /** What the table needs. */
 export interface UpstreamTableOptions {
@@ -42,9 +42,9 @@
   private readonly byId = new Map<string, Upstream>();
   private readonly byService = new Map<string, Upstream[]>();
   /** Upstreams gone from the list, with the monotonic milliseconds at which they went. */
-  private readonly departed = new Map<Upstream, number>();
+  private readonly recentlyUnlisted = new Map<Upstream, number>();
   /** By id, starts that were taken out although they said to be left alone: their entries may come back. */
-  private readonly dropped = new Map<string, Upstream>();
+  private readonly rememberedInstances = new Map<string, Upstream>();
 
   private constructor(private readonly options: UpstreamTableOptions) {}
 
@@ -69,7 +69,7 @@
    * @param service Name of the service. */
   getServing(service: string): Upstream[] {
     return (this.byService.get(service) ?? []).filter((upstream) =>
-      this.mayServe(upstream)
+      this.acceptsRequests(upstream)
     );
   }
 
@@ -79,7 +79,7 @@
   getBackoffMs(service: string): number | undefined {
     const now = readClock();
     const times = (this.byService.get(service) ?? [])
-      .filter((upstream) => this.mayServeLater(upstream, now))
+      .filter((upstream) => this.isEligibleAfterBackoff(upstream, now))
       .map((upstream) => upstream.availability.getBackoffMs(now));
     const first = Math.min(...times);
     return Number.isFinite(first) && first > 0 ? first : undefined;
@@ -90,10 +90,12 @@
    * @param service Name of the service. */
   getPresent(service: string): readonly Upstream[] {
     const now = readClock();
-    for (const [upstream, goneAt] of this.departed) {
-      if (now - goneAt > DEPARTED_KEPT_MS) this.departed.delete(upstream);
+    for (const [upstream, goneAt] of this.recentlyUnlisted) {
+      if (now - goneAt > UNLISTED_RETENTION_MS) {
+        this.recentlyUnlisted.delete(upstream);
+      }
     }
-    const departed = [...this.departed.keys()].filter((upstream) =>
+    const departed = [...this.recentlyUnlisted.keys()].filter((upstream) =>
       upstream.published.service === service
     );
     return [...this.byService.get(service) ?? [], ...departed];
@@ -103,8 +105,8 @@
    * @param changes The changes. */
   apply(changes: readonly UpstreamChange[]): void {
     for (const { id, upstream } of changes) {
-      if (upstream === undefined) this.remove(id);
-      else this.put(upstream);
+      if (upstream === undefined) this.handleMissingEntry(id);
+      else this.applyEntry(upstream);
     }
   }
 
@@ -113,9 +115,9 @@
   drop(upstream: Upstream): void {
     if (this.byId.get(upstream.id) !== upstream) return;
     this.byId.delete(upstream.id);
-    this.rebuild(upstream.published.service);
-    upstream.isDropped = true;
-    this.rememberWord(upstream);
+    this.rebuildService(upstream.published.service);
+    upstream.isRemoved = true;
+    this.rememberAvailability(upstream);
     upstream.close();
     this.options.logger.info({ upstream: upstream.id }, "upstream_dropped");
     this.options.onDrop(upstream);
@@ -127,52 +129,57 @@
   }
 
   /** Whether an upstream may get a new request at this moment. */
-  private mayServe(upstream: Upstream): boolean {
+  private acceptsRequests(upstream: Upstream): boolean {
     const now = readClock();
-    return this.mayServeLater(upstream, now) &&
+    return this.isEligibleAfterBackoff(upstream, now) &&
       upstream.availability.takesRequests(now);
   }
 
   /** Whether an upstream may get a request once a backoff that it asked for is over. */
-  private mayServeLater(upstream: Upstream, now: number): boolean {
+  private isEligibleAfterBackoff(upstream: Upstream, now: number): boolean {
     if (upstream.isLeaving) return false;
-    if (now - upstream.crashedAt < CRASHED_FOR_MS) return false;
-    return upstream.usedUntil === undefined || now < upstream.usedUntil;
+    if (now - upstream.crashedAt < CRASH_EXCLUSION_MS) return false;
+    return upstream.lapseEndsAt === undefined || now < upstream.lapseEndsAt;
   }
 
-  private put(published: PublishedUpstream): void {
+  private applyEntry(published: PublishedUpstream): void {
     const known = this.byId.get(published.id);
-    if (known) this.departed.delete(known);
-    if (known && isSameStart(known, published)) {
+    if (known) this.recentlyUnlisted.delete(known);
+    if (known && isSameInstance(known, published)) {
       known.published = published;
-      known.usedUntil = undefined;
+      known.lapseEndsAt = undefined;
       return;
     }
     if (known) this.replace(known, published);
-    const fresh = Upstream.create(published, this.recallWord(published));
+    const fresh = Upstream.create(
+      published,
+      this.takeRememberedAvailability(published),
+    );
     fresh.availability.onChange = (change) =>
-      this.noteAvailability(fresh, change);
+      this.handleAvailabilityChange(fresh, change);
     this.byId.set(fresh.id, fresh);
-    this.rebuild(published.service);
+    this.rebuildService(published.service);
   }
 
   /** What a start that is listed again said before its entry was missing; undefined where that is nothing. */
-  private recallWord(published: PublishedUpstream): Availability | undefined {
-    const before = this.dropped.get(published.id);
-    this.dropped.delete(published.id);
-    return before && isSameStart(before, published)
+  private takeRememberedAvailability(
+    published: PublishedUpstream,
+  ): Availability | undefined {
+    const before = this.rememberedInstances.get(published.id);
+    this.rememberedInstances.delete(published.id);
+    return before && isSameInstance(before, published)
       ? before.availability
       : undefined;
   }
 
   /** Remembers a start that is taken out, as long as what it said may count. */
-  private rememberWord(upstream: Upstream): void {
+  private rememberAvailability(upstream: Upstream): void {
     if (upstream.availability.takesRequests(readClock())) return;
-    this.dropped.delete(upstream.id);
-    this.dropped.set(upstream.id, upstream);
-    if (this.dropped.size <= MAX_DROPPED) return;
-    const [oldest] = this.dropped.keys();
-    this.dropped.delete(oldest!);
+    this.rememberedInstances.delete(upstream.id);
+    this.rememberedInstances.set(upstream.id, upstream);
+    if (this.rememberedInstances.size <= MAX_REMEMBERED_INSTANCES) return;
+    const [oldest] = this.rememberedInstances.keys();
+    this.rememberedInstances.delete(oldest!);
   }
 
   /** Takes out an upstream whose id another has now, with all that is known of it. */
@@ -188,7 +195,7 @@
     this.drop(known);
   }
 
-  private noteAvailability(
+  private handleAvailabilityChange(
     upstream: Upstream,
     change: AvailabilityChange,
   ): void {
@@ -197,27 +204,27 @@
     this.options.onAvailability(change);
   }
 
-  private remove(id: string): void {
+  private handleMissingEntry(id: string): void {
     const known = this.byId.get(id);
     if (!known) return;
     const now = readClock();
-    const longest = now + this.options.leaveWithinMs * LAPSE_GRACE_PART;
+    const longest = now + this.options.leaveWithinMs * LAPSE_GRACE_FRACTION;
     const usedUntil = Math.min(longest, this.options.getLapseEndsAt());
-    if (usedUntil <= now) return this.depart(known);
-    known.usedUntil = usedUntil;
+    if (usedUntil <= now) return this.removeUnlisted(known);
+    known.lapseEndsAt = usedUntil;
     const timer = setTimeout(() => {
-      if (known.usedUntil === usedUntil) this.depart(known);
+      if (known.lapseEndsAt === usedUntil) this.removeUnlisted(known);
     }, usedUntil - now);
     timer.unref();
   }
 
   /** Takes an upstream out that is gone from the list, and remembers it a little. */
-  private depart(upstream: Upstream): void {
-    this.departed.set(upstream, readClock());
+  private removeUnlisted(upstream: Upstream): void {
+    this.recentlyUnlisted.set(upstream, readClock());
     this.drop(upstream);
   }
 
-  private rebuild(service: string): void {
+  private rebuildService(service: string): void {
     const serving = [...this.byId.values()].filter((upstream) =>
       upstream.published.service === service
     );
@@ -226,7 +233,7 @@
 }
 
 /** Whether two entries under one id are of the same start of the same upstream. */
-function isSameStart(known: Upstream, fresh: PublishedUpstream): boolean {
+function isSameInstance(known: Upstream, fresh: PublishedUpstream): boolean {
   const { address, service, startedAt } = fresh;
   return known.published.address === address &&
     known.published.service === service &&
--- a/tests/admission/residence_time_test.ts
+++ b/tests/admission/residence_time_test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
 import { ResidenceTime } from "../../src/admission/residence_time.ts";
 
-test("long requests weigh more among those held than among those started", (t) => {
-  const time = ResidenceTime.create();
-  t.is(time.meanMs, undefined);
-  t.is(time.heldMeanMs, undefined);
-  time.note(100);
-  time.note(900);
-  t.is(time.meanMs, 500);
-  t.is(Math.round(time.heldMeanMs!), 820);
+test("long requests weigh more in the mean of requests in flight than in the mean of all requests", (t) => {
+  const residenceTime = ResidenceTime.create();
+  t.is(residenceTime.meanMs, undefined);
+  t.is(residenceTime.inFlightMeanMs, undefined);
+  residenceTime.recordDuration(100);
+  residenceTime.recordDuration(900);
+  t.is(residenceTime.meanMs, 500);
+  t.is(Math.round(residenceTime.inFlightMeanMs!), 820);
 });
--- a/tests/admission/start_admission_test.ts
+++ b/tests/admission/start_admission_test.ts
@@ -28,20 +28,20 @@
   return starts;
 }
 
-test("a prompt is popular once it was asked for more than once within a moment", (t) => {
+test("a prompt is popular once it has been requested more than once within a short time", (t) => {
   const admission = StartAdmission.create(Random.create(1));
-  t.false(admission.noteRequest(PART, 0));
-  t.true(admission.noteRequest(PART, 300));
-  t.false(admission.noteRequest(PART, 10_000));
-  t.false(admission.noteRequest(PART + 1, 10_001));
+  t.false(admission.recordRequest(PART, 0));
+  t.true(admission.recordRequest(PART, 300));
+  t.false(admission.recordRequest(PART, 10_000));
+  t.false(admission.recordRequest(PART + 1, 10_001));
 });
 
-test("a request for a prompt that is not popular starts wherever there is room", (t) => {
+test("a request for an unpopular prompt is admitted wherever there is headroom", (t) => {
   t.is(countStarts(false, 5), 100);
   t.is(countStarts(false, 19), 0);
 });
 
-test("hosts that all want an engine for popular prompts share its room", (t) => {
+test("hosts that compete for an engine with popular prompts share its headroom", (t) => {
   const starts = countStarts(true, 5);
   t.true(starts > 0 && starts < 30, String(starts));
 });
--- a/tests/hashing/host_ring_test.ts
+++ b/tests/hashing/host_ring_test.ts
@@ -3,10 +3,10 @@
 import { HostRing } from "../../src/hashing/host_ring.ts";
 
 const names = fc.uniqueArray(fc.string({ minLength: 1 }), { maxLength: 30 });
-const place = fc.integer({ min: 0, max: 2 ** 32 - 1 });
+const position = fc.integer({ min: 0, max: 2 ** 32 - 1 });
 
 test("a ring names different names, as many as asked for or all, in an order that is the same for the same names", (t) => {
-  const keeps = fc.property(names, place, (all, at) => {
+  const keeps = fc.property(names, position, (all, at) => {
     const following = HostRing.create(all).getFollowing(at, 2);
     const again = HostRing.create([...all].reverse()).getFollowing(at, 2);
     return following.length === Math.min(2, all.length) &&
@@ -17,7 +17,7 @@
 });
 
 test("where a name goes, a key that was not its own stays", (t) => {
-  const keeps = fc.property(names, place, (all, at) => {
+  const keeps = fc.property(names, position, (all, at) => {
     const [first] = HostRing.create(all).getFollowing(at, 1);
     const rest = all.filter((name, index) => index > 0 || name === first);
     return HostRing.create(rest).getFollowing(at, 1)[0] === first;
--- a/tests/upstreams/load_counts_test.ts
+++ b/tests/upstreams/load_counts_test.ts
@@ -17,7 +17,7 @@
   record("a", 5);
   record("a", 3);
   record("b", 1);
-  t.is(loads.getTotal(upstream, performance.now()), 6);
+  t.is(loads.getTotalRequests(upstream, performance.now()), 6);
 });
 
 test("counts that are too old are left out", (t) => {
@@ -28,7 +28,7 @@
     usedUntil: performance.now() - 1,
     counts: [[upstream.shortName, 5]],
   });
-  t.is(loads.getTotal(upstream, performance.now()), 0);
+  t.is(loads.getTotalRequests(upstream, performance.now()), 0);
 });
 
 test("an upstream's own word counts where it is more than hosts told, while it is new", (t) => {
@@ -36,9 +36,9 @@
   const loads = LoadCounts.create();
   upstream.ownRequests = 2;
   upstream.reported = { requests: 9, at: performance.now() };
-  t.is(loads.getTotal(upstream, performance.now()), 9);
+  t.is(loads.getTotalRequests(upstream, performance.now()), 9);
   upstream.reported = { requests: 1, at: performance.now() };
-  t.is(loads.getTotal(upstream, performance.now()), 2);
+  t.is(loads.getTotalRequests(upstream, performance.now()), 2);
   upstream.reported = { requests: 9, at: performance.now() - 60_000 };
-  t.is(loads.getTotal(upstream, performance.now()), 2);
+  t.is(loads.getTotalRequests(upstream, performance.now()), 2);
 });
--- a/tests/upstreams/upstream_table_test.ts
+++ b/tests/upstreams/upstream_table_test.ts
@@ -81,7 +81,7 @@
   t.not(second, first);
   t.not(second.shortName, first.shortName);
   t.false(second.health.isSuspect);
-  t.true(first.isDropped);
+  t.true(first.isRemoved);
   t.deepEqual(restarted, [first]);
 });
 
@@ -105,7 +105,7 @@
       upstream: buildUpstream({ id: "u", startedAt }),
     }]);
   list(1, 5);
-  table.getServing("s")[0]!.availability.noteLeaving();
+  table.getServing("s")[0]!.availability.recordLeaving();
   table.apply([GONE]);
   list(3, 5);
   t.is(table.getServing("s").length, 0);
