--- a/src/upstreams/availability.ts
+++ b/src/upstreams/availability.ts
@@ -1,57 +1,58 @@
 import type { AvailabilityNotice } from "./availability_notice.ts";
 
-/** Longest time for which an upstream is left alone at its own word, in milliseconds: above any pause that is planned, so
- * that a mistaken figure doesn't take an upstream out until it starts again. */
+/** Maximum backoff that an upstream may ask for, in milliseconds. Longer than any planned pause, so that a wrong value
+ * does not exclude the upstream until it restarts. */
 const MAX_BACKOFF_MS = 300_000;
-/** First time for which an upstream that is full and names no time is left out while others are free, in milliseconds; it
- * doubles with each try that is turned away, for attempts at upstreams that turn all away use up the retries of requests which
- * others could serve. */
+/** Initial time for which an upstream that declined a request without naming a backoff is avoided while others have
+ * capacity, in milliseconds. It doubles with each further decline, because attempts at upstreams that decline
+ * everything use up the retries of requests that others could serve. */
 const INITIAL_DECLINE_BACKOFF_MS = 150;
-/** Longest such time, in milliseconds. */
+/** Maximum time for which such an upstream is avoided, in milliseconds. */
 const MAX_DECLINE_BACKOFF_MS = 2_400;
-/** Requests under way unanswered from which an upstream that was left alone is used as any other; the count begins at one
- * and doubles with each that the upstream takes. */
+/** Limit of unanswered trial requests from which an upstream is used without a limit again. The limit starts at one and
+ * doubles with each trial request that the upstream accepts. */
 const MAX_TRIAL_LIMIT = 16;
 
-/** How what is known of an upstream's availability has changed. */
+/** Change of an upstream's availability. */
 export type AvailabilityChange = "backs_off" | "reopened" | "leaves";
 
-/** What one start of an upstream has said, in its answers to this host, of whether it takes requests. The word is between the
- * two: other hosts may send there, and another start under the same id knows nothing of it. Left out for a constant time
- * whatever they asked for, upstreams got four to six requests each where one was wanted, and callers were refused while others
- * were idle, for their attempts went to the full ones. */
+/** Whether one instance of an upstream accepts requests, according to its responses to this host. The state is not
+ * shared: other hosts may still send requests to the upstream, and another instance under the same id starts afresh.
+ * Avoiding upstreams for a constant time, whatever backoff they asked for, gave each of them four to six requests where
+ * one was wanted, and callers were refused while other upstreams were idle, because their attempts went to the full
+ * ones. */
 export class Availability {
-  /** Told of each change. */
+  /** Called on each change. */
   onChange: (change: AvailabilityChange) => void = () => undefined;
   private backoffEndsAt = -Infinity;
   private declineBackoffEndsAt = -Infinity;
-  /** Times in a row that it was found full. */
+  /** Declines without a backoff since the last accepted request. */
   private consecutiveDeclines = 0;
   private hasAnnouncedLeaving = false;
-  /** Requests that may be under way unanswered after it was left out; undefined where any number may. */
+  /** Maximum number of unanswered trial requests after a backoff or a decline; undefined if there is no limit. */
   private trialLimit: number | undefined;
-  /** Requests begun after it was left out that are under way unanswered. */
+  /** Trial requests that are unanswered. */
   private trialsInFlight = 0;
 
   private constructor() {}
 
-  /** Creates the availability of an upstream that has said nothing. */
+  /** Creates the availability of an upstream that has not answered yet. */
   static create(): Availability {
     return new Availability();
   }
 
-  /** Whether it has said that it is leaving, which holds as long as the start lasts. */
+  /** Whether the upstream has announced that it is leaving. Holds for the lifetime of the instance. */
   get isLeaving(): boolean {
     return this.hasAnnouncedLeaving;
   }
 
-  /** Whether a request may be sent at all. Whatever sends one asks this, just before the first byte leaves too.
+  /** Whether requests may be sent at all. Senders also check this just before the first byte is sent.
    * @param now Monotonic milliseconds. */
   takesRequests(now: number): boolean {
     return !this.hasAnnouncedLeaving && now >= this.backoffEndsAt;
   }
 
-  /** Whether it likely has room for one more; where no other upstream has, one that likely has none is asked all the same.
+  /** Whether the upstream likely has capacity for one more request. If no upstream has, it may be tried all the same.
    * @param now Monotonic milliseconds. */
   hasRoom(now: number): boolean {
     if (now < this.declineBackoffEndsAt) return false;
@@ -59,14 +60,14 @@
       this.trialsInFlight < this.trialLimit;
   }
 
-  /** Time that is left of the backoff that it asked for, in milliseconds, or 0.
+  /** Remaining time of the requested backoff in milliseconds, or 0.
    * @param now Monotonic milliseconds. */
   getBackoffMs(now: number): number {
     return Math.max(0, this.backoffEndsAt - now);
   }
 
-  /** Takes what an answer says. Of backoffs that overlap, the one that ends last holds.
-   * @param notice What the answer says.
+  /** Applies the notice of a response. If backoffs overlap, the one that ends last counts.
+   * @param notice Notice of the response.
    * @param now Monotonic milliseconds. */
   note({ backoffMs, isLeaving }: AvailabilityNotice, now: number): void {
     if (isLeaving) this.recordLeaving();
@@ -74,19 +75,20 @@
     const wasBackingOff = now < this.backoffEndsAt;
     const endsAt = now + Math.min(backoffMs, MAX_BACKOFF_MS);
     this.backoffEndsAt = Math.max(this.backoffEndsAt, endsAt);
-    // Hosts that all come back at once would fill the upstream again before its first answer shows that.
+    // If all hosts resumed at once, they would fill the upstream again before its first response shows it.
     this.trialLimit = 1;
     if (!wasBackingOff) this.onChange("backs_off");
   }
 
-  /** Takes word that the upstream is leaving. */
+  /** Records that the upstream is leaving. */
   recordLeaving(): void {
     if (this.hasAnnouncedLeaving) return;
     this.hasAnnouncedLeaving = true;
     this.onChange("leaves");
   }
 
-  /** Takes that it turned a request away and named no time. What was under way beside the first counts once.
+  /** Records that the upstream declined a request without naming a backoff. Further declines during the resulting
+   * backoff are ignored, so that requests under way at the first one count once.
    * @param now Monotonic milliseconds. */
   noteFull(now: number): void {
     if (now < this.declineBackoffEndsAt) return;
@@ -98,20 +100,20 @@
     this.trialLimit = 1;
   }
 
-  /** Takes that it took a request. */
+  /** Records that the upstream accepted a request. */
   noteTaken(): void {
     this.consecutiveDeclines = 0;
   }
 
-  /** Counts a request that is being sent; returns whether it is one of those that try the upstream after it was left out. */
+  /** Records that a request is being sent and returns whether it is a trial request. */
   beginRequest(): boolean {
     if (this.trialLimit === undefined) return false;
     this.trialsInFlight += 1;
     return true;
   }
 
-  /** Takes that a request which tries the upstream was answered, or has ended.
-   * @param wasAccepted Whether the upstream took it. */
+  /** Records that a trial request was answered or has ended.
+   * @param wasAccepted Whether the upstream accepted it. */
   endTrial(wasAccepted: boolean): void {
     this.trialsInFlight -= 1;
     if (!wasAccepted || this.trialLimit === undefined) return;
--- a/src/upstreams/availability_notice.ts
+++ b/src/upstreams/availability_notice.ts
@@ -1,6 +1,7 @@
-/** What one answer of an upstream says of whether it takes further requests. */
+/** Whether an upstream accepts further requests, as stated by one of its responses. */
 export interface AvailabilityNotice {
-  /** Time for which the upstream wants no request from this host, in milliseconds; undefined where it names none. */
+  /** Time for which this host should send the upstream no requests, in milliseconds; undefined if the response names
+   * none. */
   backoffMs: number | undefined;
   /** Whether the upstream is leaving. */
   isLeaving: boolean;
--- a/src/upstreams/channel.ts
+++ b/src/upstreams/channel.ts
@@ -1,18 +1,18 @@
 import type { Socket } from "node:net";
 import { buildConnector, Client, type Dispatcher } from "undici";
 
-/** Time for a new connection to an upstream, in milliseconds: some hundred times the usual way there and back. */
+/** Timeout for connecting to an upstream, in milliseconds; about a hundred usual round-trip times. */
 const CONNECT_TIMEOUT_MS = 450;
-/** Idle time after which a connection is closed where the upstream names none, in milliseconds. */
+/** Idle time after which a connection is closed if the upstream names none, in milliseconds. */
 const IDLE_TIMEOUT_MS = 10_000;
-/** Longest idle time that an upstream's word is followed up to, in milliseconds. */
+/** Maximum idle timeout that is accepted from an upstream, in milliseconds. */
 const MAX_IDLE_TIMEOUT_MS = 60_000;
-/** Time by which a connection is closed before the upstream closes it, in milliseconds. */
+/** Time before the upstream's idle timeout at which a connection is closed, in milliseconds. */
 const IDLE_CLOSE_MARGIN_MS = 700;
-/** Idle time on a connection after which the system probes whether the other end is there, in milliseconds. */
+/** Idle time after which the operating system starts TCP keepalive probes, in milliseconds. */
 const KEEPALIVE_PROBE_DELAY_MS = 1_000;
 
-/** One connection to an upstream, with one request on it at a time. */
+/** A connection to an upstream that carries one request at a time. */
 export class Channel {
   private readonly client: Client;
   private isClosed = false;
@@ -34,9 +34,9 @@
     });
   }
 
-  /** Creates a channel; it connects with its first request.
+  /** Creates a connection, which is established with its first request.
    * @param address Address of the upstream, as ip:port.
-   * @param onClosed Told when the connection has ended. */
+   * @param onClosed Called when the connection has ended. */
   static create(
     address: string,
     onClosed: (channel: Channel) => void,
@@ -44,20 +44,20 @@
     return new Channel(address, onClosed);
   }
 
-  /** Whether the channel can take a request. */
+  /** Whether the connection can carry a request. */
   get isUsable(): boolean {
     return !this.isClosed;
   }
 
-  /** Whether the connection was reset or failed in another way.
-   * The client counts an answer without a length as whole even then, so whoever takes one has to ask. */
+  /** Whether the connection was reset or failed in another way. Readers of a response without a length have to check
+   * this, because the HTTP client treats such a response as complete even then. */
   get wasReset(): boolean {
     return this.hasFailed;
   }
 
   /** Sends a request.
    * @param options The request.
-   * @param handler Told what becomes of it. */
+   * @param handler Receives the response or the error. */
   send(
     options: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
@@ -65,7 +65,7 @@
     this.client.dispatch(options, handler);
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately. */
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
@@ -85,8 +85,9 @@
       });
   }
 
-  /** Notes a reset. Where it comes together with the last bytes, the event loop reports a plain end; a socket that was
-   * reset then has no other side any more, while one that was ended well still names its address. */
+  /** Detects a reset of the connection. If the reset arrives together with the last bytes, the event loop reports an
+   * ordinary end. The socket then has no remote address any more, whereas a socket that was closed properly still has
+   * one. */
   private detectReset(socket: Socket): void {
     socket.once("error", () => this.hasFailed = true);
     socket.prependOnceListener("end", () => {
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -5,41 +5,44 @@
 import type { PrefixIndex, SentPart } from "./prefix_index.ts";
 import type { Upstream } from "./upstream.ts";
 
-/** Requests above the multiple of the mean that the promise allows. */
+/** Requests that the load bound allows beyond the multiple of the mean load. */
 const BOUND_EXTRA_REQUESTS = 3;
-/** Reading ahead of an engine from which a prompt that none keeps goes to the next in its order, in milliseconds: below
- * half of the objectives of first events, and above what most prompts take. */
+/** Prefill backlog of an engine, in milliseconds, from which a prompt that no engine has cached goes to the next engine
+ * in the prompt's order. Below half of the time-to-first-event objectives, and above the prefill time of most
+ * prompts. */
 const MAX_PREFILL_BACKLOG_MS = 150;
-/** What an upstream in another hall costs against one in this, as a part of an upstream's slots. */
+/** Additional cost of an upstream in another hall, as a fraction of the upstream's slots. */
 const OTHER_HALL_COST = 0.15;
 
-/** What an upstream was chosen by: the prompt is kept there, the prompt's order of engines, or the least cost. */
+/** Basis of a choice: the prompt is cached there, the prompt's rendezvous order of engines, or the lowest cost. */
 export type ChoiceBasis = "kept_prompt" | "prompt_order" | "least_cost";
 
-/** An upstream that was chosen, and what decided it. */
+/** A chosen upstream and the basis of the choice. */
 export interface UpstreamChoice {
   upstream: Upstream;
   basis: ChoiceBasis;
-  /** Requests that an upstream may hold when it gets one more. */
+  /** Maximum number of requests on an upstream, including the one to be added. */
   bound: number;
 }
 
-/** What a choice is made from. */
+/** Input of a choice. */
 export interface ChoiceOptions {
-  /** Upstreams that could run the request and take requests now. */
+  /** Upstreams that can run the request and accept requests now. */
   candidates: readonly Upstream[];
-  /** All upstreams of the service that are there, those that leave too: the bound is a multiple of their mean load. */
+  /** All upstreams of the service that are present, including leaving ones; the bound is a multiple of their mean
+   * load. */
   present: readonly Upstream[];
-  /** Those it was sent to before. */
+  /** Ids of the upstreams that the request was already sent to. */
   tried: ReadonlySet<string>;
-  /** Names of the request's service and route. */
+  /** Name of the request's service. */
   service: string;
+  /** Name of the request's route. */
   route: string;
-  /** The prompt's parts that other requests share, in order; empty where it shares nothing. */
+  /** Parts of the prompt that are shared with other requests, in order; empty if none are. */
   sharedParts: readonly SentPart[];
-  /** Whether the request can't be sent again once it may have run; it then avoids upstreams that failed lately. */
+  /** Whether to avoid upstreams that failed recently, because the request can't be sent again once it may have run. */
   isCautious: boolean;
-  /** No upstream is to carry more than this multiple of the mean load, and three requests. */
+  /** Multiple of the mean load that an upstream may carry; three further requests are allowed on top. */
   boundMultiple: number;
   loads: LoadCounts;
   admission: StartAdmission;
@@ -51,8 +54,8 @@
   now: number;
 }
 
-/** Chooses the upstream for a request, or nothing where none is left.
- * @param options What the choice is made from. */
+/** Chooses the upstream for a request; undefined if none is left.
+ * @param options Input of the choice. */
 export function chooseUpstream(
   options: ChoiceOptions,
 ): UpstreamChoice | undefined {
@@ -85,8 +88,8 @@
   bound: number;
 }
 
-/** An engine that keeps the prompt, else the first in the prompt's order, as long as it may get one more request; where
- * none may, the least cost decides. */
+/** Chooses an engine that has the prompt cached, otherwise the first engine in the prompt's order, provided that one
+ * more request is admitted there. If no engine admits it, chooses by cost. */
 function chooseByPrompt(
   upstreams: UsableUpstreams,
   options: ChoiceOptions,
@@ -95,23 +98,24 @@
   const { sharedParts, prefixes, now } = options;
   const lastPart = sharedParts.at(-1)!.name;
   const mayStart = createAdmissionCheck(lastPart, bound, options);
-  const isKeeping = (upstream: Upstream) =>
+  const hasCached = (upstream: Upstream) =>
     prefixes.isKept(lastPart, upstream.shortName, now);
-  // All are ranked only where none that keeps the prompt has room: that costs a hash for each of them.
-  const kept = rankForPart(lastPart, usable.filter(isKeeping)).find(mayStart);
-  if (kept) return { upstream: kept, basis: "kept_prompt", bound };
-  const others = usable.filter((upstream) => !isKeeping(upstream));
-  const placed = findFirstAdmitting(
-    rankForPart(lastPart, others),
+  // All engines are ranked only if none that has the prompt cached admits the request: ranking hashes each engine.
+  const cached = rankForPart(lastPart, usable.filter(hasCached)).find(mayStart);
+  if (cached) return { upstream: cached, basis: "kept_prompt", bound };
+  const remaining = usable.filter((upstream) => !hasCached(upstream));
+  const uncached = findFirstAdmitting(
+    rankForPart(lastPart, remaining),
     mayStart,
     options,
   );
-  if (placed) return { upstream: placed, basis: "prompt_order", bound };
+  if (uncached) return { upstream: uncached, basis: "prompt_order", bound };
   return chooseLeastCost(upstreams, options);
 }
 
-/** Requests that an upstream may hold when it gets one more. The mean is the lower one of the service and of the upstreams
- * left to choose from, unless the latter could not hold what they do already. */
+/** Computes the maximum number of requests on an upstream, including the one to be added. Uses the lower one of the
+ * mean loads of the service and of the usable upstreams, unless the usable upstreams could not hold their present load
+ * then. */
 function computeBound(
   usable: readonly Upstream[],
   options: ChoiceOptions,
@@ -130,13 +134,13 @@
   { loads, now }: ChoiceOptions,
 ): number {
   const total = upstreams.reduce(
-    (sum, one) => sum + loads.getTotalRequests(one, now),
+    (sum, upstream) => sum + loads.getTotalRequests(upstream, now),
     0,
   );
   return total / upstreams.length;
 }
 
-/** Creates the check whether this host may start a request for a prompt on an upstream. */
+/** Creates a predicate that tells whether this host may start a request for a prompt on an upstream. */
 function createAdmissionCheck(
   part: number,
   bound: number,
@@ -159,48 +163,49 @@
   };
 }
 
-/** Engines in the order in which a part of a prompt goes to them. */
+/** Ranks engines for a prompt part by rendezvous hashing. */
 function rankForPart(part: number, engines: readonly Upstream[]): Upstream[] {
   const byId = new Map(engines.map((engine) => [engine.id, engine]));
   return rankByRendezvous(String(part), [...byId.keys()])
     .map((id) => byId.get(id)!);
 }
 
-/** The first engine that is not reading far ahead and may get the request, else the first of the others that may. */
+/** Finds the first engine that admits the request and has a small prefill backlog, otherwise the first other one that
+ * admits it. */
 function findFirstAdmitting(
   ranked: readonly Upstream[],
   mayStart: (upstream: Upstream) => boolean,
   { prefixes, now }: ChoiceOptions,
 ): Upstream | undefined {
-  const isReading = (upstream: Upstream) =>
+  const isBacklogged = (upstream: Upstream) =>
     prefixes.getPrefillBacklogMs(upstream.shortName, now) >=
       MAX_PREFILL_BACKLOG_MS;
   return ranked.find((upstream) =>
-    !isReading(upstream) && mayStart(upstream)
+    !isBacklogged(upstream) && mayStart(upstream)
   ) ??
-    ranked.find((upstream) => isReading(upstream) && mayStart(upstream));
+    ranked.find((upstream) => isBacklogged(upstream) && mayStart(upstream));
 }
 
-/** The upstream of the least cost among those below the bound, else among all. */
+/** Chooses the upstream with the lowest cost among those below the bound, or among all if none is below it. */
 function chooseLeastCost(
   { usable, bound }: UsableUpstreams,
   options: ChoiceOptions,
 ): UpstreamChoice {
   const { loads, now } = options;
-  const below = usable.filter((one) =>
-    loads.getTotalRequests(one, now) < bound
+  const below = usable.filter((upstream) =>
+    loads.getTotalRequests(upstream, now) < bound
   );
   const candidates = below.length > 0 ? below : usable;
   const costs = new Map(
-    candidates.map((one) => [one, estimateCost(one, options)]),
+    candidates.map((upstream) => [upstream, estimateCost(upstream, options)]),
   );
-  const upstream = options.random.shuffle(candidates).reduce((best, one) =>
-    costs.get(one)! < costs.get(best)! ? one : best
+  const cheapest = options.random.shuffle(candidates).reduce((best, upstream) =>
+    costs.get(upstream)! < costs.get(best)! ? upstream : best
   );
-  return { upstream, basis: "least_cost", bound };
+  return { upstream: cheapest, basis: "least_cost", bound };
 }
 
-/** Expected time of one more request, in units of an unloaded upstream's. */
+/** Estimates the time of one more request, relative to its time on an upstream without load. */
 function estimateCost(upstream: Upstream, options: ChoiceOptions): number {
   const { loads, now } = options;
   const load = loads.getTotalRequests(upstream, now) / upstream.published.slots;
--- a/src/upstreams/connection_pool.ts
+++ b/src/upstreams/connection_pool.ts
@@ -1,6 +1,6 @@
 import { Channel } from "./channel.ts";
 
-/** The connections to one upstream that carry no request at the moment. */
+/** Pool of the idle connections to one upstream. */
 export class ConnectionPool {
   private readonly idle: Channel[] = [];
   private isClosed = false;
@@ -13,30 +13,30 @@
     return new ConnectionPool(address);
   }
 
-  /** Takes the channel that was used last, or a new one. */
+  /** Returns the most recently used idle connection, or a new one. */
   take(): Channel {
     while (this.idle.length > 0) {
-      const channel = this.idle.pop()!;
-      if (channel.isUsable) return channel;
+      const connection = this.idle.pop()!;
+      if (connection.isUsable) return connection;
     }
     return Channel.create(this.address, (closed) => this.remove(closed));
   }
 
-  /** Gives a channel back after a whole answer.
-   * @param channel The channel. */
-  giveBack(channel: Channel): void {
-    if (this.isClosed) return channel.close();
-    if (channel.isUsable) this.idle.push(channel);
+  /** Returns a connection to the pool after a complete response.
+   * @param connection The connection. */
+  giveBack(connection: Channel): void {
+    if (this.isClosed) return connection.close();
+    if (connection.isUsable) this.idle.push(connection);
   }
 
-  /** Closes the idle channels, and those given back later. */
+  /** Closes the idle connections, and those that are returned later. */
   close(): void {
     this.isClosed = true;
-    for (const channel of this.idle.splice(0)) channel.close();
+    for (const connection of this.idle.splice(0)) connection.close();
   }
 
-  private remove(channel: Channel): void {
-    const index = this.idle.indexOf(channel);
+  private remove(connection: Channel): void {
+    const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
   }
 }
--- a/src/upstreams/decline_window.ts
+++ b/src/upstreams/decline_window.ts
@@ -1,8 +1,8 @@
 import { readClock } from "../clock/clock.ts";
 
-/** Time after a request is sent within which upstreams decline it, in milliseconds. */
+/** Time within which upstreams decline a request after it was sent, in milliseconds. */
 const DECLINE_WINDOW_MS = 250;
-/** Least time for which an abandoned request waits for a decline, in milliseconds. */
+/** Minimum time for which an abandoned request waits for a decline, in milliseconds. */
 const MIN_WAIT_MS = 50;
 
 /** Closes the connection of an abandoned request once a decline of it would have arrived.
@@ -13,7 +13,7 @@
   close: () => void,
 ): void {
   const remainingMs = sentAt + DECLINE_WINDOW_MS - readClock();
-  // A timer that fires late runs ahead of the reads that are due, so the close waits for one round of these.
+  // A late timer runs before pending reads, so closing waits for one pass of the event loop over these.
   setTimeout(() => setImmediate(close), Math.max(MIN_WAIT_MS, remainingMs))
     .unref();
 }
--- a/src/upstreams/engine_inventory.ts
+++ b/src/upstreams/engine_inventory.ts
@@ -1,29 +1,29 @@
 import type { AvailabilityNotice } from "./availability_notice.ts";
 
-/** What an engine says that it keeps. */
+/** The prompt parts that an engine has cached. */
 export interface EngineList {
-  /** Ids of the parts. */
+  /** Ids of the prompt parts. */
   parts: readonly string[];
-  /** Unix milliseconds of the engine's start; undefined where it tells none. */
+  /** Start time of the engine in Unix milliseconds; undefined if the engine reports none. */
   startedAt: number | undefined;
 }
 
-/** An engine's answer to the question what it keeps. */
+/** An engine's response to a request for its cached prompt parts. */
 export interface EngineAnswer {
   /** Status code. */
   status: number;
-  /** What it says of whether the engine takes further requests. */
+  /** Whether the engine accepts further requests. */
   availability: AvailabilityNotice;
-  /** Undefined where the engine gave no list. */
+  /** Cached parts; undefined if the response contains no list. */
   list: EngineList | undefined;
 }
 
-/** Asks engines which parts of prompts they keep; an adapter implements it for one platform. */
+/** Queries engines for their cached prompt parts; implemented by the adapter of a platform. */
 export interface EngineInventory {
-  /** Lists the parts that an engine keeps. The engine's work waits while it lists them, so it is asked rarely.
+  /** Lists the parts that an engine has cached. The engine pauses its work while it lists them, so call this rarely.
    * @param address Address of the engine, as ip:port.
-   * @throws Error where the engine does not answer. */
+   * @throws Error if the engine does not answer. */
   listParts(address: string): Promise<EngineAnswer>;
-  /** Closes the connections. */
+  /** Closes all connections to engines. */
   close(): Promise<void>;
 }
--- a/src/upstreams/find_fetch_source.ts
+++ b/src/upstreams/find_fetch_source.ts
@@ -2,14 +2,15 @@
 import type { PrefixIndex, SentPart } from "./prefix_index.ts";
 import type { Upstream } from "./upstream.ts";
 
-/** The engine from which another should fetch what it lacks of a prompt, or nothing where it lacks nothing that may be
- * kept elsewhere. The deepest part decides, for an engine that keeps it was sent those before it too. Where no engine
- * is known to keep any, as after a restart, it is the one that the prompt was most likely sent to first: the first in
- * its order, or where that is the target, the first of those that came before the target.
- * @param parts The prompt's shared parts, in order.
- * @param target The engine that is to run the request.
- * @param engines Engines of the service that can be reached, leaving ones too.
- * @param prefixes Which engines keep which parts.
+/** Finds the engine from which another engine should fetch the prompt parts that it lacks; undefined if it lacks none
+ * that another engine may have cached. The deepest part decides, because an engine that has it cached was also sent the
+ * parts before it. If no engine is known to have cached any part, as after a restart, returns the engine that the
+ * prompt was most likely sent to: the first in the prompt's rendezvous order or, if that is the target, the first among
+ * the engines that arrived before the target.
+ * @param parts Shared parts of the prompt, in order.
+ * @param target Engine that is to run the request.
+ * @param engines Reachable engines of the service, including leaving ones.
+ * @param prefixes Index of the cached prompt parts.
  * @param now Monotonic milliseconds. */
 export function findFetchSource(
   parts: readonly SentPart[],
--- a/src/upstreams/load_counts.ts
+++ b/src/upstreams/load_counts.ts
@@ -1,34 +1,34 @@
 import type { CountAges, LoadSnapshot } from "./load_snapshot.ts";
 import type { Upstream } from "./upstream.ts";
 
-/** Age up to which an upstream's own word of its load is used, in milliseconds. */
+/** Maximum age at which the load that an upstream reported is used, in milliseconds. */
 const MAX_REPORT_AGE_MS = 400;
 
-/** Time for which the sum of hosts' counts is used where nothing is told, in milliseconds; counts that are too old by
- * then are left out. */
+/** Time for which the sum of the hosts' counts is used if no new counts arrive, in milliseconds. Counts that have
+ * expired by then are excluded from the next sum. */
 const SUM_LIFETIME_MS = 100;
 
-/** An upstream's short name, and the requests that a host has running there. */
+/** Hash of an upstream instance, and the requests that a host has running on it. */
 export type LoadCount = [upstream: number, requests: number];
 
-/** What a host told of its requests. */
+/** Request counts reported by a host. */
 export interface HostLoadReport {
-  /** Monotonic milliseconds at which the host told this, as far as is known. */
+  /** Estimated monotonic milliseconds at which the host reported the counts. */
   toldAt: number;
-  /** Monotonic milliseconds up to which the counts are used. */
+  /** Monotonic milliseconds at which the counts expire. */
   usedUntil: number;
-  /** Its requests; an upstream that is missing has none. */
+  /** Requests by upstream; a missing upstream has none. */
   counts: readonly LoadCount[];
 }
 
-/** The requests on each upstream: exact for this process, and for other hosts as they last told. */
+/** Tracks the requests on each upstream: exactly for this process, and as last reported for other hosts. */
 export class LoadCounts {
-  /** By id of the host, what it last told. */
+  /** Latest report by host id. */
   private readonly hosts = new Map<string, HostLoadReport>();
-  /** By short name of the upstream, the requests of all other hosts. */
+  /** Requests of all other hosts by instance hash of the upstream. */
   private foreign = new Map<number, number>();
-  /** Hosts whose counts are in that sum, and the sum and the least of the moments at which they told. */
-  private counted = { hosts: 0, toldAtSum: 0, firstToldAt: Infinity };
+  /** Number of hosts in that sum, and the sum and the minimum of their report times. */
+  private counted = { hosts: 0, reportedAtSum: 0, oldestReportedAt: Infinity };
   private sumExpiresAt = -Infinity;
 
   private constructor() {}
@@ -38,26 +38,28 @@
     return new LoadCounts();
   }
 
-  /** Takes over what a host told.
-   * @param hostId The host.
-   * @param told What it told. */
-  record(hostId: string, told: HostLoadReport): void {
-    this.hosts.set(hostId, told);
+  /** Records the counts that a host reported.
+   * @param hostId Id of the host.
+   * @param report The report. */
+  record(hostId: string, report: HostLoadReport): void {
+    this.hosts.set(hostId, report);
     this.sumExpiresAt = -Infinity;
   }
 
-  /** Requests on an upstream from all hosts: as hosts told, or where that is more as it told itself just now.
+  /** Returns the requests of all hosts on an upstream: the sum of the hosts' counts, or the upstream's own recent
+   * report if that is higher.
    * @param upstream The upstream.
    * @param now Monotonic milliseconds. */
   getTotalRequests(upstream: Upstream, now: number): number {
-    const told = upstream.ownRequests + this.getForeignRequests(upstream, now);
+    const counted = upstream.ownRequests +
+      this.getForeignRequests(upstream, now);
     const report = upstream.reported;
-    const isNew = report !== undefined &&
+    const isRecent = report !== undefined &&
       now - report.at <= MAX_REPORT_AGE_MS;
-    return isNew ? Math.max(told, report.requests) : told;
+    return isRecent ? Math.max(counted, report.requests) : counted;
   }
 
-  /** What is known of the requests on an upstream, with its age.
+  /** Returns the known requests on an upstream and the age of that knowledge.
    * @param upstream The upstream.
    * @param now Monotonic milliseconds. */
   getSnapshot(upstream: Upstream, now: number): LoadSnapshot {
@@ -71,22 +73,22 @@
     };
   }
 
-  /** How old other hosts' counts are.
+  /** Returns the ages of the other hosts' counts.
    * @param now Monotonic milliseconds. */
   getCountAges(now: number): CountAges {
     if (now >= this.sumExpiresAt) this.updateSum(now);
-    const { hosts, toldAtSum, firstToldAt } = this.counted;
+    const { hosts, reportedAtSum, oldestReportedAt } = this.counted;
     if (hosts === 0) {
       return { countedHosts: 0, countAgeMs: 0, oldestCountAgeMs: 0 };
     }
     return {
       countedHosts: hosts,
-      countAgeMs: now - toldAtSum / hosts,
-      oldestCountAgeMs: now - firstToldAt,
+      countAgeMs: now - reportedAtSum / hosts,
+      oldestCountAgeMs: now - oldestReportedAt,
     };
   }
 
-  /** Counts of this process, for other hosts.
+  /** Returns the counts of this process, for other hosts.
    * @param upstreams All upstreams. */
   getOwn(upstreams: Iterable<Upstream>): LoadCount[] {
     const counts: LoadCount[] = [];
@@ -103,15 +105,15 @@
 
   private updateSum(now: number): void {
     const sums = new Map<number, number>();
-    const counted = { hosts: 0, toldAtSum: 0, firstToldAt: Infinity };
+    const counted = { hosts: 0, reportedAtSum: 0, oldestReportedAt: Infinity };
     for (const [hostId, { usedUntil, toldAt, counts }] of this.hosts) {
       if (now > usedUntil) {
         this.hosts.delete(hostId);
         continue;
       }
       counted.hosts += 1;
-      counted.toldAtSum += toldAt;
-      counted.firstToldAt = Math.min(counted.firstToldAt, toldAt);
+      counted.reportedAtSum += toldAt;
+      counted.oldestReportedAt = Math.min(counted.oldestReportedAt, toldAt);
       for (const [shortName, requests] of counts) {
         sums.set(shortName, (sums.get(shortName) ?? 0) + requests);
       }
--- a/src/upstreams/load_snapshot.ts
+++ b/src/upstreams/load_snapshot.ts
@@ -1,21 +1,21 @@
-/** How old other hosts' counts of requests are. */
+/** Ages of the request counts from other hosts. */
 export interface CountAges {
-  /** Other hosts whose counts are used. */
+  /** Number of other hosts whose counts are used. */
   countedHosts: number;
-  /** Mean age of their counts, in milliseconds; 0 where none are used. */
+  /** Mean age of their counts, in milliseconds; 0 if none are used. */
   countAgeMs: number;
-  /** Age of the oldest count used, in milliseconds; 0 where none are used. */
+  /** Age of the oldest count used, in milliseconds; 0 if none are used. */
   oldestCountAgeMs: number;
 }
 
-/** What this process knew of the requests on an upstream at one moment, and how old that was. */
+/** Requests on an upstream as known to this process at one moment, and the age of that knowledge. */
 export interface LoadSnapshot extends CountAges {
-  /** Requests of this process, exact. */
+  /** Requests of this process; exact. */
   own: number;
-  /** Requests of the other hosts, as they last told. */
+  /** Requests of the other hosts, as last reported. */
   foreign: number;
-  /** Requests that the upstream last reported, running and waiting; undefined where it reported none. */
+  /** Running and waiting requests that the upstream last reported; undefined if it reported none. */
   reported: number | undefined;
-  /** Age of that report, in milliseconds; undefined where there is none. */
+  /** Age of that report, in milliseconds; undefined if there is none. */
   reportAgeMs: number | undefined;
 }
--- a/src/upstreams/log_availability.ts
+++ b/src/upstreams/log_availability.ts
@@ -1,11 +1,11 @@
 import type { Logger } from "../logging/logger.ts";
 import type { AvailabilityChange } from "./availability.ts";
 
-/** Writes that an upstream has said otherwise than before whether it takes requests.
- * @param logger Where to write.
- * @param upstreamId The upstream.
- * @param change What has changed.
- * @param backoffMs Time that is left of the backoff that it asked for, in milliseconds. */
+/** Logs a change of an upstream's availability.
+ * @param logger Logger to write to.
+ * @param upstreamId Id of the upstream.
+ * @param change The change.
+ * @param backoffMs Remaining time of the requested backoff, in milliseconds. */
 export function logAvailability(
   logger: Logger,
   upstreamId: string,
--- a/src/upstreams/prefix_index.ts
+++ b/src/upstreams/prefix_index.ts
@@ -1,32 +1,33 @@
 import { hashText } from "../hashing/hasher.ts";
 
-/** Time for which an engine is taken to keep what it read, in milliseconds: rereading costs only where a part was used
- * within about ten seconds, and memory lasts some times as long. */
+/** Time for which an engine is assumed to keep a prompt part cached, in milliseconds. Recomputing a part matters only
+ * if it was used within about ten seconds, and the engines' caches retain parts several times as long. */
 const CACHE_RETENTION_MS = 30_000;
-/** Time after which it is told again that an engine keeps a part that goes on being used, in milliseconds. */
+/** Minimum time between two updates about the same part and engine while the part remains in use, in milliseconds. */
 const REPEAT_INTERVAL_MS = 5_000;
-/** Parts remembered; the one unused longest gives way. */
+/** Maximum number of indexed parts; the least recently used one is evicted. */
 const MAX_PARTS = 50_000;
-/** Facts told to other hosts at a time, so that they fit into one packet. */
+/** Maximum number of updates sent to other hosts at a time, so that they fit into one datagram. */
 const MAX_UPDATES_PER_DATAGRAM = 80;
-/** Time that an engine takes to read a token of a prompt, in milliseconds: those served today read some 48 in one. */
+/** Prefill time of a prompt token, in milliseconds; the engines in use process about 48 tokens per millisecond. */
 const PREFILL_MS_PER_TOKEN = 1 / 48;
 
-/** That an engine was sent a part of a prompt: short names of the part and of the engine, and the tokens that the
- * engine had to read for it, 0 where it kept the part or fetched it. */
-export type PrefixFact = [part: number, engine: number, readTokens: number];
+/** Update that an engine was sent a prompt part: hashes of the part and of the engine instance, and the tokens that the
+ * engine had to prefill for it, 0 if it had the part cached or fetched it. */
+export type PrefixFact = [part: number, engine: number, prefillTokens: number];
 
-/** That an engine keeps a part: short name of the engine, and milliseconds since it was last sent the part. */
+/** An engine that has a prompt part cached: hash of the engine instance, and milliseconds since it was last sent the
+ * part. */
 export type PrefixSighting = [engine: number, agoMs: number];
 
-/** A part of a prompt that is sent. */
+/** A part of a prompt. */
 export interface SentPart {
-  /** Short name of the part. */
+  /** Hash of the part's id. */
   name: number;
   tokens: number;
 }
 
-/** Time that an engine takes to read a prompt's parts, in milliseconds.
+/** Estimates the prefill time of prompt parts, in milliseconds.
  * @param parts The parts. */
 export function estimateReadingMs(parts: readonly SentPart[]): number {
   return parts.reduce(
@@ -35,13 +36,14 @@
   );
 }
 
-/** Which engines keep which parts of prompts, from what this host and others sent there. */
+/** Index of the engines that have prompt parts cached, derived from the requests that this and other hosts sent to
+ * them. */
 export class PrefixIndex {
-  /** By part, the engines with the monotonic milliseconds of the last request. */
+  /** By part, the engines that were sent it, with the monotonic milliseconds of the last request. */
   private readonly engines = new Map<number, Map<number, number>>();
-  /** By engine, the monotonic milliseconds at which it has read what it was sent. */
+  /** By engine, the monotonic milliseconds at which it will have prefilled the parts that it was sent. */
   private readonly prefillEndsAt = new Map<number, number>();
-  /** By part and engine, the monotonic milliseconds at which other hosts were last told. */
+  /** By part and engine, the monotonic milliseconds at which an update was last queued for other hosts. */
   private readonly announcedAt = new Map<number, Map<number, number>>();
   private pendingUpdates: PrefixFact[] = [];
   private isMarkedComplete = false;
@@ -53,26 +55,26 @@
     return new PrefixIndex();
   }
 
-  /** Short name of a part.
+  /** Returns the hash of a prompt part.
    * @param partId Id of the part. */
   static nameOf(partId: string): number {
     return hashText(partId);
   }
 
-  /** Whether this holds all that is to be known, rather than what came up since a start. */
+  /** Whether the index is complete, rather than covering only the time since a start. */
   get isComplete(): boolean {
     return this.isMarkedComplete;
   }
 
-  /** Whether there are facts that were not told; where many came at once, more than one telling is needed. */
+  /** Whether updates are queued for other hosts. If many arrive at once, they need more than one datagram. */
   get hasUntold(): boolean {
     return this.pendingUpdates.length > 0;
   }
 
-  /** Records that this host sends parts to an engine.
+  /** Records that this host sends prompt parts to an engine.
    * @param parts The parts.
-   * @param engine Short name of the engine.
-   * @param isFetched Whether the engine fetches what it lacks from another.
+   * @param engine Hash of the engine instance.
+   * @param isFetched Whether the engine fetches the parts that it lacks from another engine.
    * @param now Monotonic milliseconds. */
   noteSent(
     parts: readonly SentPart[],
@@ -81,74 +83,74 @@
     now: number,
   ): void {
     for (const { name, tokens } of parts) {
-      const isRead = !isFetched && !this.isKept(name, engine, now);
-      const readTokens = isRead ? tokens : 0;
-      this.applyUpdate([name, engine, readTokens], now);
-      this.enqueueUpdate([name, engine, readTokens], now);
+      const isPrefilled = !isFetched && !this.isKept(name, engine, now);
+      const prefillTokens = isPrefilled ? tokens : 0;
+      this.applyUpdate([name, engine, prefillTokens], now);
+      this.enqueueUpdate([name, engine, prefillTokens], now);
     }
   }
 
-  /** Time until an engine has read the shared parts it was sent, in milliseconds.
-   * @param engine Short name of the engine.
+  /** Returns the time until an engine has prefilled the shared parts that it was sent, in milliseconds.
+   * @param engine Hash of the engine instance.
    * @param now Monotonic milliseconds. */
   getPrefillBacklogMs(engine: number, now: number): number {
     return Math.max(0, (this.prefillEndsAt.get(engine) ?? now) - now);
   }
 
-  /** Declares that all that is to be known was learned. */
+  /** Marks the index as complete. */
   markComplete(): void {
     this.isMarkedComplete = true;
   }
 
-  /** Records what another host told.
-   * @param facts The facts.
+  /** Applies updates from another host.
+   * @param updates The updates.
    * @param now Monotonic milliseconds. */
-  learn(facts: readonly PrefixFact[], now: number): void {
-    for (const fact of facts) this.applyUpdate(fact, now);
+  learn(updates: readonly PrefixFact[], now: number): void {
+    for (const update of updates) this.applyUpdate(update, now);
   }
 
-  /** The facts to tell other hosts in one datagram; each is given once. */
+  /** Removes and returns the queued updates that fit into one datagram. */
   takeFacts(): PrefixFact[] {
     return this.pendingUpdates.splice(0, MAX_UPDATES_PER_DATAGRAM);
   }
 
-  /** All facts to tell other hosts; each is given once. */
+  /** Removes and returns all queued updates. */
   takeAllFacts(): PrefixFact[] {
     return this.pendingUpdates.splice(0);
   }
 
-  /** The facts used last, for a host that has just started.
-   * @param limit Most facts.
+  /** Returns updates about the most recently used parts, for a host that has just started.
+   * @param limit Maximum number of updates.
    * @param now Monotonic milliseconds. */
   getRecent(limit: number, now: number): PrefixFact[] {
-    const facts: PrefixFact[] = [];
-    for (const [part, keepings] of [...this.engines].reverse()) {
-      for (const [engine, usedAt] of keepings) {
-        if (now - usedAt < CACHE_RETENTION_MS) facts.push([part, engine, 0]);
+    const updates: PrefixFact[] = [];
+    for (const [part, holders] of [...this.engines].reverse()) {
+      for (const [engine, usedAt] of holders) {
+        if (now - usedAt < CACHE_RETENTION_MS) updates.push([part, engine, 0]);
       }
-      if (facts.length >= limit) break;
+      if (updates.length >= limit) break;
     }
-    return facts.slice(0, limit);
+    return updates.slice(0, limit);
   }
 
-  /** Whether an engine is taken to keep a part.
-   * @param part Short name of the part.
-   * @param engine Short name of the engine.
+  /** Returns whether an engine is assumed to have a prompt part cached.
+   * @param part Hash of the part.
+   * @param engine Hash of the engine instance.
    * @param now Monotonic milliseconds. */
   isKept(part: number, engine: number, now: number): boolean {
-    const at = this.engines.get(part)?.get(engine);
-    return at !== undefined && now - at < CACHE_RETENTION_MS;
+    const usedAt = this.engines.get(part)?.get(engine);
+    return usedAt !== undefined && now - usedAt < CACHE_RETENTION_MS;
   }
 
-  /** Whether any engine is taken to keep a part.
-   * @param part Short name of the part.
+  /** Returns whether any engine is assumed to have a prompt part cached.
+   * @param part Hash of the part.
    * @param now Monotonic milliseconds. */
   isKeptAnywhere(part: number, now: number): boolean {
     return this.getSightings(part, now).length > 0;
   }
 
-  /** The engines that are taken to keep a part.
-   * @param part Short name of the part.
+  /** Returns the engines that are assumed to have a prompt part cached.
+   * @param part Hash of the part.
    * @param now Monotonic milliseconds. */
   getSightings(part: number, now: number): PrefixSighting[] {
     return [...this.engines.get(part) ?? []].filter(([, usedAt]) =>
@@ -156,50 +158,51 @@
     ).map(([engine, usedAt]) => [engine, Math.round(now - usedAt)]);
   }
 
-  /** Records what another host said of a part; what is known here to be later stays.
-   * @param part Short name of the part.
-   * @param sightings What the other host said.
+  /** Merges the engines that another host reported for a prompt part. More recent local entries are kept.
+   * @param part Hash of the part.
+   * @param holders Engines that the other host reported.
    * @param now Monotonic milliseconds. */
   recall(
     part: number,
-    sightings: readonly PrefixSighting[],
+    holders: readonly PrefixSighting[],
     now: number,
   ): void {
-    for (const [engine, agoMs] of sightings) {
+    for (const [engine, agoMs] of holders) {
       const usedAt = now - Math.max(0, agoMs);
-      const known = this.engines.get(part)?.get(engine) ?? -Infinity;
-      if (usedAt > known) this.applyUpdate([part, engine, 0], usedAt);
+      const knownUsedAt = this.engines.get(part)?.get(engine) ?? -Infinity;
+      if (usedAt > knownUsedAt) this.applyUpdate([part, engine, 0], usedAt);
     }
   }
 
   private applyUpdate(
-    [part, engine, readTokens]: PrefixFact,
+    [part, engine, prefillTokens]: PrefixFact,
     now: number,
   ): void {
-    if (readTokens > 0) {
+    if (prefillTokens > 0) {
       const startsAt = Math.max(now, this.prefillEndsAt.get(engine) ?? now);
       this.prefillEndsAt.set(
         engine,
-        startsAt + readTokens * PREFILL_MS_PER_TOKEN,
+        startsAt + prefillTokens * PREFILL_MS_PER_TOKEN,
       );
     }
-    const known = this.engines.get(part) ?? new Map<number, number>();
-    known.set(engine, now);
+    const partHolders = this.engines.get(part) ?? new Map<number, number>();
+    partHolders.set(engine, now);
     this.engines.delete(part);
-    this.engines.set(part, known);
+    this.engines.set(part, partHolders);
     if (this.engines.size <= MAX_PARTS) return;
     const [oldest] = this.engines.keys();
     this.engines.delete(oldest!);
     this.announcedAt.delete(oldest!);
   }
 
-  private enqueueUpdate(fact: PrefixFact, now: number): void {
-    const [part, engine] = fact;
-    const told = this.announcedAt.get(part) ?? new Map<number, number>();
-    const last = told.get(engine) ?? -Infinity;
-    if (now - last < REPEAT_INTERVAL_MS) return;
-    told.set(engine, now);
-    this.announcedAt.set(part, told);
-    this.pendingUpdates.push(fact);
+  private enqueueUpdate(update: PrefixFact, now: number): void {
+    const [part, engine] = update;
+    const announcedByEngine = this.announcedAt.get(part) ??
+      new Map<number, number>();
+    const lastAnnouncedAt = announcedByEngine.get(engine) ?? -Infinity;
+    if (now - lastAnnouncedAt < REPEAT_INTERVAL_MS) return;
+    announcedByEngine.set(engine, now);
+    this.announcedAt.set(part, announcedByEngine);
+    this.pendingUpdates.push(update);
   }
 }
--- a/src/upstreams/read_availability_notice.ts
+++ b/src/upstreams/read_availability_notice.ts
@@ -1,30 +1,30 @@
 import { type HeaderValue, readRetryAfter } from "../http/read_retry_after.ts";
 import type { AvailabilityNotice } from "./availability_notice.ts";
 
-/** Status codes with which an upstream turns a request away. */
+/** Status codes with which an upstream declines a request. */
 const DECLINE_STATUS_CODES: ReadonlySet<number> = new Set([429, 503]);
 
-/** The header by which a protocol says that an upstream is leaving. */
+/** Header by which an upstream announces that it is leaving; depends on the protocol. */
 export interface LeavingHeader {
-  /** Name in lower case. */
+  /** Lower-case name. */
   name: string;
   value: string;
 }
 
-/** Reads what an upstream's answer, to whatever request, says of whether it takes further ones.
- * @param status Status code of the answer.
+/** Reads from an upstream's response to any request whether the upstream accepts further requests.
+ * @param status Status code of the response.
  * @param headers Headers by lower-case name.
- * @param leaving The protocol's header for leaving. */
+ * @param leaving Header of the protocol that announces leaving. */
 export function readAvailabilityNotice(
   status: number,
   headers: Readonly<Record<string, HeaderValue>>,
   leaving: LeavingHeader,
 ): AvailabilityNotice {
-  const said = [headers[leaving.name] ?? []].flat();
+  const values = [headers[leaving.name] ?? []].flat();
   return {
     backoffMs: DECLINE_STATUS_CODES.has(status)
       ? readRetryAfter(headers["retry-after"], headers["date"])
       : undefined,
-    isLeaving: said.some((value) => value.trim() === leaving.value),
+    isLeaving: values.some((value) => value.trim() === leaving.value),
   };
 }
--- a/src/upstreams/retry_share.ts
+++ b/src/upstreams/retry_share.ts
@@ -1,18 +1,20 @@
 import type { Random } from "../random/random.ts";
 
-/** Part of the fleet's retry budget that is used; the rest is kept for what hosts cannot know of each other. */
+/** Fraction of the fleet's retry budget that is used; the rest is reserved because hosts do not know each other's
+ * usage. */
 const USED_FRACTION = 0.7;
-/** Slots that a window is counted in. */
+/** Number of slots in the sliding window. */
 const SLOTS_PER_WINDOW = 10;
 
-/** What the budget of the fleet is. */
+/** Retry budget of the fleet. */
 export interface RetryBudgetOptions {
-  /** Retries allowed for each request. */
+  /** Retries allowed per request. */
   ratio: number;
-  /** Retries allowed beyond that in a window, for the whole fleet. */
+  /** Additional retries allowed per window, for the whole fleet. */
   extra: number;
+  /** Length of the sliding window in milliseconds. */
   windowMs: number;
-  /** Hosts that may share the budget. */
+  /** Returns the number of hosts that may share the budget. */
   countHosts: () => number;
   random: Random;
 }
@@ -23,12 +25,12 @@
   retries: number;
 }
 
-/** This host's share of the fleet's retry budget for one service, over a sliding window. In a large fleet a share is a few
- * retries, so that hosts round it at random: always down, the fleet would refuse a fifth of the retries when many
- * upstreams fail at once. */
+/** This host's share of the fleet's retry budget for one service, over a sliding window. In a large fleet a share is a
+ * few retries, so each host rounds its share at random: always rounding down would make the fleet refuse a fifth of the
+ * retries when many upstreams fail at once. */
 export class RetryShare {
   private slots: Slot[] = [];
-  /** Fraction of a retry above which the share allows one more. */
+  /** Fraction of a retry above which the share is rounded up. */
   private readonly rounding: number;
 
   private constructor(private readonly options: RetryBudgetOptions) {
@@ -36,23 +38,23 @@
   }
 
   /** Creates an unused share.
-   * @param options What the budget of the fleet is. */
+   * @param options Retry budget of the fleet. */
   static create(options: RetryBudgetOptions): RetryShare {
     return new RetryShare(options);
   }
 
-  /** Counts a request that was sent for the first time.
+  /** Records the first attempt of a request.
    * @param now Monotonic milliseconds. */
   noteRequest(now: number): void {
     this.getSlot(now).requests += 1;
   }
 
-  /** Takes one retry; returns whether the share had one left.
+  /** Takes one retry from the share; returns false if none is left.
    * @param now Monotonic milliseconds. */
   spend(now: number): boolean {
     const slot = this.getSlot(now);
-    const requests = this.slots.reduce((sum, one) => sum + one.requests, 0);
-    const retries = this.slots.reduce((sum, one) => sum + one.retries, 0);
+    const requests = this.slots.reduce((sum, slot) => sum + slot.requests, 0);
+    const retries = this.slots.reduce((sum, slot) => sum + slot.retries, 0);
     const { ratio, extra, countHosts } = this.options;
     const allowed = ratio * requests + extra / Math.max(1, countHosts());
     if (retries + this.rounding >= USED_FRACTION * allowed) return false;
--- a/src/upstreams/upstream.ts
+++ b/src/upstreams/upstream.ts
@@ -5,34 +5,35 @@
 import { ConnectionPool } from "./connection_pool.ts";
 import { UpstreamHealth } from "./upstream_health.ts";
 
-/** One upstream as this process knows and uses it. */
+/** State of one instance of an upstream in this process. */
 export class Upstream {
-  /** Connections to it. */
+  /** Idle connections to the upstream. */
   readonly channels: ConnectionPool;
-  /** What its answers say of its health. */
+  /** Health according to the outcomes of attempts. */
   readonly health = UpstreamHealth.create();
-  /** What its answers say of whether it takes requests. */
+  /** Whether it accepts requests, according to its responses. */
   readonly availability: Availability;
-  /** Short name of this start of the upstream in what hosts tell each other, so that word of another start is not taken
-   * for its own. */
+  /** Hash that identifies this instance of the upstream in messages between hosts, so that information about another
+   * instance is not applied to this one. */
   readonly shortName: number;
-  /** Requests that this process has running there. */
+  /** Requests that this process has running on the upstream. */
   ownRequests = 0;
-  /** How often this process has considered it for popular prompts. */
+  /** Rate at which this process considers the upstream for popular prompts. */
   readonly popularArrivals = ArrivalRate.create();
-  /** Monotonic milliseconds at which any of its answers last brought bytes. */
+  /** Monotonic milliseconds at which bytes of any of its responses were last received. */
   heardAt = -Infinity;
-  /** Requests that it told of itself with an answer, running and waiting, and the monotonic milliseconds of that. */
+  /** Running and waiting requests that it last reported with a response, and the monotonic milliseconds of the
+   * report. */
   reported: { requests: number; at: number } | undefined;
-  /** Monotonic milliseconds up to which it is used although its entry is missing; undefined while it is listed. */
+  /** Monotonic milliseconds until which it is used although its entry is missing; undefined while it is listed. */
   lapseEndsAt: number | undefined;
-  /** Monotonic milliseconds at which this start was found to have crashed. */
+  /** Monotonic milliseconds at which a crash of this instance was detected. */
   crashedAt = -Infinity;
-  /** Whether it is gone from the list, or another has its address. */
+  /** Whether it was removed from the table: it is no longer listed, or another upstream has its address. */
   isRemoved = false;
 
   private constructor(
-    /** What it last published. */
+    /** Latest published entry. */
     public published: PublishedUpstream,
     availability: Availability,
   ) {
@@ -42,8 +43,8 @@
   }
 
   /** Creates an upstream.
-   * @param published What it published.
-   * @param availability What this start has said before, where it is known. */
+   * @param published Published entry.
+   * @param availability Earlier availability of the same instance, if known. */
   static create(
     published: PublishedUpstream,
     availability = Availability.create(),
@@ -51,7 +52,6 @@
     return new Upstream(published, availability);
   }
 
-  /** Its id. */
   get id(): string {
     return this.published.id;
   }
@@ -61,30 +61,30 @@
     return this.published.address;
   }
 
-  /** Whether it leaves, by its entry or by its own word, whichever came first. */
+  /** Whether it is leaving, according to its entry or to its responses. */
   get isLeaving(): boolean {
     return this.published.isLeaving || this.availability.isLeaving;
   }
 
-  /** Whether its end is no surprise: it has said that it leaves, or is gone from the list. */
+  /** Whether its termination is expected, because it is leaving or was removed from the table. */
   get isEndExpected(): boolean {
     return this.isLeaving || this.isRemoved;
   }
 
-  /** Whether a start that an answer tells is another than this one, as far as both are known.
-   * @param startedAt Unix milliseconds of the start; undefined where the answer tells none. */
+  /** Returns whether a start time identifies another instance than this one. False if either start time is unknown.
+   * @param startedAt Unix milliseconds of the start; undefined if the response contains none. */
   isOtherStart(startedAt: number | undefined): boolean {
     const own = this.published.startedAt;
     return own !== undefined && startedAt !== undefined && own !== startedAt;
   }
 
-  /** Whether it is likely there, so that other upstreams can fetch from it.
+  /** Returns whether the upstream is likely reachable, so that other upstreams can fetch from it.
    * @param now Monotonic milliseconds. */
   isWithinReach(now: number): boolean {
     return this.health.isReachable(this.heardAt, now);
   }
 
-  /** Closes the idle connections; those in use close with their request. */
+  /** Closes the idle connections; those in use are closed after their request. */
   close(): void {
     this.channels.close();
   }
--- a/src/upstreams/upstream_health.ts
+++ b/src/upstreams/upstream_health.ts
@@ -1,18 +1,19 @@
-/** Rate of faults from which an upstream is a suspect. */
+/** Fault rate from which an upstream is suspect. */
 const SUSPECT_FAULT_RATE = 0.1;
-/** Rate of faults above which an upstream is left out. */
+/** Fault rate above which an upstream is ejected. */
 const FAULT_EJECTION_RATE = 0.33;
-/** Rate of error answers above which an upstream is left out; well above what a request's own content causes. */
+/** Rate of error responses above which an upstream is ejected; well above the rate that the content of requests
+ * causes. */
 const ERROR_EJECTION_RATE = 0.5;
-/** Time after a broken connection for which an upstream that was not heard since is not taken to be within reach, in
- * milliseconds. */
+/** Time after a broken connection for which an upstream is considered unreachable unless bytes were received from it
+ * since, in milliseconds. */
 const UNREACHABLE_FOR_MS = 3_000;
-/** First time for which an upstream is left out, in milliseconds; it doubles while failures go on. */
+/** Duration of the first ejection, in milliseconds; it doubles while failures continue. */
 const INITIAL_EJECTION_MS = 1_000;
-/** Longest time for which an upstream is left out, in milliseconds. */
+/** Maximum duration of an ejection, in milliseconds. */
 const MAX_EJECTION_MS = 6_000;
 
-/** How an attempt at an upstream ended, as far as the upstream's health goes. */
+/** Outcome of an attempt at an upstream, as it concerns the upstream's health. */
 export type HealthSign =
   | "good"
   | "error_answer"
@@ -20,14 +21,14 @@
   | "silent"
   | "unreachable";
 
-/** What one sign adds: its weight in the rate of faults, and in that of error answers. */
+/** Weights of one signal in the fault rate and in the rate of error responses. */
 interface SignalWeights {
   fault: number;
   error: number;
 }
 
-/** Two silences in a row leave an upstream out, for one may come from a long prompt of another request; a connection
- * that broke does so alone. */
+/** One broken connection ejects an upstream. It takes two consecutive silences, because a single one may be caused by a
+ * long prompt of another request. */
 const SIGNAL_WEIGHTS: Readonly<Record<HealthSign, SignalWeights>> = {
   good: { fault: 0.12, error: 0.1 },
   error_answer: { fault: 0.12, error: 0.1 },
@@ -36,7 +37,7 @@
   unreachable: { fault: 1, error: 0 },
 };
 
-/** What the answers of one upstream say of its health; probes are not used. */
+/** Passive health check of one upstream, based on the outcomes of attempts; there are no active probes. */
 export class UpstreamHealth {
   private faultRate = 0;
   private errorRate = 0;
@@ -46,50 +47,51 @@
 
   private constructor() {}
 
-  /** Creates the health of an upstream of which nothing is known. */
+  /** Creates the health of an upstream without recorded attempts. */
   static create(): UpstreamHealth {
     return new UpstreamHealth();
   }
 
-  /** Recent rate of broken connections and silences, from 0 to 1. */
+  /** Recent rate of faults, that is of failed connections and silences, from 0 to 1. */
   get rate(): number {
     return this.faultRate;
   }
 
-  /** Whether faults were seen lately. */
+  /** Whether the recent fault rate reaches the threshold for suspicion. */
   get isSuspect(): boolean {
     return this.faultRate >= SUSPECT_FAULT_RATE;
   }
 
-  /** Whether the upstream is left out for now.
+  /** Returns whether the upstream is currently ejected.
    * @param now Monotonic milliseconds. */
   isEjected(now: number): boolean {
     return now < this.ejectedUntil;
   }
 
-  /** Whether the upstream is likely there: no connection to it broke lately, or it was heard since. One that loses single
-   * answers still gives others what it keeps.
-   * @param heardAt Monotonic milliseconds at which any of its answers last brought bytes.
+  /** Returns whether the upstream is likely reachable: no connection to it broke recently, or bytes were received from
+   * it since. An upstream that loses single responses can still serve its cached prompt parts to others.
+   * @param lastReceivedAt Monotonic milliseconds at which bytes of any of its responses were last received.
    * @param now Monotonic milliseconds. */
-  isReachable(heardAt: number, now: number): boolean {
-    return heardAt > this.brokenAt || now - this.brokenAt >= UNREACHABLE_FOR_MS;
+  isReachable(lastReceivedAt: number, now: number): boolean {
+    return lastReceivedAt > this.brokenAt ||
+      now - this.brokenAt >= UNREACHABLE_FOR_MS;
   }
 
-  /** Records how an attempt ended.
-   * @param sign What the attempt says.
+  /** Records the outcome of an attempt.
+   * @param signal The outcome.
    * @param now Monotonic milliseconds.
-   * @returns Time for which the upstream is now left out, in milliseconds, or 0. */
-  note(sign: HealthSign, now: number): number {
-    const { fault, error } = SIGNAL_WEIGHTS[sign];
-    const isFault = sign !== "good" && sign !== "error_answer";
-    const isError = sign === "error_answer";
+   * @returns Duration of the ejection that this outcome causes, in milliseconds, or 0. */
+  note(signal: HealthSign, now: number): number {
+    const { fault, error } = SIGNAL_WEIGHTS[signal];
+    const isFault = signal !== "good" && signal !== "error_answer";
+    const isError = signal === "error_answer";
     this.faultRate += fault * (Number(isFault) - this.faultRate);
     this.errorRate += error * (Number(isError) - this.errorRate);
-    if (sign === "unreachable" || sign === "broken") {
+    if (signal === "unreachable" || signal === "broken") {
       this.brokenAt = now;
     }
-    if (sign === "good" && !this.isSuspect) this.ejections = 0;
-    if (sign === "good" || this.isEjected(now)) return 0;
+    if (signal === "good" && !this.isSuspect) this.ejections = 0;
+    if (signal === "good" || this.isEjected(now)) return 0;
     const exceedsThreshold = this.faultRate > FAULT_EJECTION_RATE ||
       this.errorRate > ERROR_EJECTION_RATE;
     return exceedsThreshold ? this.eject(now) : 0;
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -6,66 +6,68 @@
 import { logAvailability } from "./log_availability.ts";
 import { Upstream } from "./upstream.ts";
 
-/** Part of the time in which a leaving upstream may get work for which one that disappeared just after an outage of the
- * platform is used at most: entries that lapsed meanwhile come back within two seconds. */
+/** Fraction of the leave timeout for which an upstream whose entry disappeared just after an outage of the platform is
+ * used at most. Entries that lapsed during the outage come back within two seconds. */
 const LAPSE_GRACE_FRACTION = 0.8;
-/** Time for which an upstream that is gone from the list is still taken to be there, in milliseconds: leaving ones
- * serve on for a little longer than the two seconds after which they get no new work. */
+/** Time for which an upstream that is no longer listed counts as present, in milliseconds. Leaving upstreams continue
+ * to serve slightly longer than the two seconds after which they get no new requests. */
 const UNLISTED_RETENTION_MS = 3_000;
 
-/** Time for which an upstream that crashed gets nothing, in milliseconds: about as long as its entry stays, and a start
- * takes. */
+/** Time for which a crashed upstream gets no requests, in milliseconds; about as long as its entry remains listed and a
+ * restart takes. */
 const CRASH_EXCLUSION_MS = 3_000;
 
-/** Starts that are remembered after they were taken out; above what lapses at once in the largest fleet. */
+/** Maximum number of removed instances that are remembered; more than lapse at once in the largest fleet. */
 const MAX_REMEMBERED_INSTANCES = 10_000;
 
-/** What the table needs. */
+/** Options of an upstream table. */
 export interface UpstreamTableOptions {
   logger: Logger;
-  /** Monotonic milliseconds up to which a missing entry may only have lapsed while the platform was away; in the past
-   * where it was not away lately. */
+  /** Returns the monotonic milliseconds until which a missing entry may only have lapsed during an outage of the
+   * platform; in the past if there was no recent outage. */
   getLapseEndsAt: () => number;
-  /** Time after which a leaving upstream may get no new work, in milliseconds. */
+  /** Time after which a leaving upstream must get no new requests, in milliseconds. */
   leaveWithinMs: number;
-  /** Told of an upstream that has started again under its id, before it is taken out: what was under way on the start
-   * before is lost. */
+  /** Called before an upstream is removed because it restarted under the same id; the requests in flight on the earlier
+   * instance are lost. */
   onRestart: (before: Upstream) => void;
-  /** Told of what an upstream has said of whether it takes requests, where that changed. */
+  /** Called when the availability of an upstream has changed. */
   onAvailability: (change: AvailabilityChange) => void;
-  /** Told of each upstream that is taken out. */
+  /** Called for each removed upstream. */
   onDrop: (upstream: Upstream) => void;
 }
 
-/** The upstreams that are known, by service. */
+/** Table of the known upstreams by service. */
 export class UpstreamTable {
   private readonly byId = new Map<string, Upstream>();
   private readonly byService = new Map<string, Upstream[]>();
-  /** Upstreams gone from the list, with the monotonic milliseconds at which they went. */
+  /** Upstreams that are no longer listed, with the monotonic milliseconds of their removal. */
   private readonly recentlyUnlisted = new Map<Upstream, number>();
-  /** By id, starts that were taken out although they said to be left alone: their entries may come back. */
+  /** By id, removed instances that had announced leaving or asked for a backoff; their entries may come back. */
   private readonly rememberedInstances = new Map<string, Upstream>();
 
   private constructor(private readonly options: UpstreamTableOptions) {}
 
   /** Creates an empty table.
-   * @param options What it needs. */
+   * @param options Options of the table. */
   static create(options: UpstreamTableOptions): UpstreamTable {
     return new UpstreamTable(options);
   }
 
-  /** All upstreams. */
+  /** Returns all upstreams. */
   getAll(): Iterable<Upstream> {
     return this.byId.values();
   }
 
-  /** Returns an upstream, or nothing.
-   * @param shortName Short name of the start. */
+  /** Returns the upstream with an instance hash, if there is one.
+   * @param shortName Hash of the upstream instance. */
   findByShortName(shortName: number): Upstream | undefined {
-    return [...this.byId.values()].find((one) => one.shortName === shortName);
+    return [...this.byId.values()].find((upstream) =>
+      upstream.shortName === shortName
+    );
   }
 
-  /** The upstreams of a service that new requests may go to.
+  /** Returns the upstreams of a service that may get new requests.
    * @param service Name of the service. */
   getServing(service: string): Upstream[] {
     return (this.byService.get(service) ?? []).filter((upstream) =>
@@ -73,25 +75,27 @@
     );
   }
 
-  /** Time until the first upstream of a service may be asked again, in milliseconds; undefined where one may be asked now, or
-   * none is left.
+  /** Returns the time until the first upstream of a service accepts requests again, in milliseconds; undefined if one
+   * accepts requests now, or none is left.
    * @param service Name of the service. */
   getBackoffMs(service: string): number | undefined {
     const now = readClock();
-    const times = (this.byService.get(service) ?? [])
+    const backoffsMs = (this.byService.get(service) ?? [])
       .filter((upstream) => this.isEligibleAfterBackoff(upstream, now))
       .map((upstream) => upstream.availability.getBackoffMs(now));
-    const first = Math.min(...times);
-    return Number.isFinite(first) && first > 0 ? first : undefined;
+    const minBackoffMs = Math.min(...backoffsMs);
+    return Number.isFinite(minBackoffMs) && minBackoffMs > 0
+      ? minBackoffMs
+      : undefined;
   }
 
-  /** All upstreams of a service that are still there: those listed, those that leave, and those gone from the list so
-   * lately that they still answer other upstreams.
+  /** Returns all upstreams of a service that are still present: those listed, including leaving ones, and those whose
+   * entry disappeared so recently that they still answer other upstreams.
    * @param service Name of the service. */
   getPresent(service: string): readonly Upstream[] {
     const now = readClock();
-    for (const [upstream, goneAt] of this.recentlyUnlisted) {
-      if (now - goneAt > UNLISTED_RETENTION_MS) {
+    for (const [upstream, removedAt] of this.recentlyUnlisted) {
+      if (now - removedAt > UNLISTED_RETENTION_MS) {
         this.recentlyUnlisted.delete(upstream);
       }
     }
@@ -101,7 +105,7 @@
     return [...this.byService.get(service) ?? [], ...departed];
   }
 
-  /** Takes over changes.
+  /** Applies changes of the published list.
    * @param changes The changes. */
   apply(changes: readonly UpstreamChange[]): void {
     for (const { id, upstream } of changes) {
@@ -110,7 +114,7 @@
     }
   }
 
-  /** Takes an upstream out at once, for another has its address.
+  /** Removes an upstream immediately, for example because another one has its address.
    * @param upstream The upstream. */
   drop(upstream: Upstream): void {
     if (this.byId.get(upstream.id) !== upstream) return;
@@ -123,19 +127,19 @@
     this.options.onDrop(upstream);
   }
 
-  /** Closes all connections. */
+  /** Closes the idle connections of all upstreams. */
   close(): void {
     for (const upstream of this.byId.values()) upstream.close();
   }
 
-  /** Whether an upstream may get a new request at this moment. */
+  /** Returns whether an upstream may get a new request now. */
   private acceptsRequests(upstream: Upstream): boolean {
     const now = readClock();
     return this.isEligibleAfterBackoff(upstream, now) &&
       upstream.availability.takesRequests(now);
   }
 
-  /** Whether an upstream may get a request once a backoff that it asked for is over. */
+  /** Returns whether an upstream may get new requests once its requested backoff, if any, has ended. */
   private isEligibleAfterBackoff(upstream: Upstream, now: number): boolean {
     if (upstream.isLeaving) return false;
     if (now - upstream.crashedAt < CRASH_EXCLUSION_MS) return false;
@@ -151,17 +155,18 @@
       return;
     }
     if (known) this.replace(known, published);
-    const fresh = Upstream.create(
+    const current = Upstream.create(
       published,
       this.takeRememberedAvailability(published),
     );
-    fresh.availability.onChange = (change) =>
-      this.handleAvailabilityChange(fresh, change);
-    this.byId.set(fresh.id, fresh);
+    current.availability.onChange = (change) =>
+      this.handleAvailabilityChange(current, change);
+    this.byId.set(current.id, current);
     this.rebuildService(published.service);
   }
 
-  /** What a start that is listed again said before its entry was missing; undefined where that is nothing. */
+  /** Returns and forgets the remembered availability of an instance that is listed again; undefined if there is
+   * none. */
   private takeRememberedAvailability(
     published: PublishedUpstream,
   ): Availability | undefined {
@@ -172,7 +177,7 @@
       : undefined;
   }
 
-  /** Remembers a start that is taken out, as long as what it said may count. */
+  /** Remembers the availability of a removed instance that accepts no requests at present. */
   private rememberAvailability(upstream: Upstream): void {
     if (upstream.availability.takesRequests(readClock())) return;
     this.rememberedInstances.delete(upstream.id);
@@ -182,9 +187,9 @@
     this.rememberedInstances.delete(oldest!);
   }
 
-  /** Takes out an upstream whose id another has now, with all that is known of it. */
-  private replace(known: Upstream, fresh: PublishedUpstream): void {
-    const { startedAt } = fresh;
+  /** Removes an upstream whose id now belongs to another instance, with its state. */
+  private replace(known: Upstream, current: PublishedUpstream): void {
+    const { startedAt } = current;
     if (known.published.startedAt !== startedAt) {
       this.options.logger.info(
         { upstream: known.id, startedAt },
@@ -208,17 +213,18 @@
     const known = this.byId.get(id);
     if (!known) return;
     const now = readClock();
-    const longest = now + this.options.leaveWithinMs * LAPSE_GRACE_FRACTION;
-    const usedUntil = Math.min(longest, this.options.getLapseEndsAt());
-    if (usedUntil <= now) return this.removeUnlisted(known);
-    known.lapseEndsAt = usedUntil;
+    const maxLapseEndsAt = now +
+      this.options.leaveWithinMs * LAPSE_GRACE_FRACTION;
+    const lapseEndsAt = Math.min(maxLapseEndsAt, this.options.getLapseEndsAt());
+    if (lapseEndsAt <= now) return this.removeUnlisted(known);
+    known.lapseEndsAt = lapseEndsAt;
     const timer = setTimeout(() => {
-      if (known.lapseEndsAt === usedUntil) this.removeUnlisted(known);
-    }, usedUntil - now);
+      if (known.lapseEndsAt === lapseEndsAt) this.removeUnlisted(known);
+    }, lapseEndsAt - now);
     timer.unref();
   }
 
-  /** Takes an upstream out that is gone from the list, and remembers it a little. */
+  /** Removes an upstream that is no longer listed; it still counts as present for a short time. */
   private removeUnlisted(upstream: Upstream): void {
     this.recentlyUnlisted.set(upstream, readClock());
     this.drop(upstream);
@@ -232,9 +238,9 @@
   }
 }
 
-/** Whether two entries under one id are of the same start of the same upstream. */
-function isSameInstance(known: Upstream, fresh: PublishedUpstream): boolean {
-  const { address, service, startedAt } = fresh;
+/** Returns whether a published entry belongs to the same instance as a known upstream with its id. */
+function isSameInstance(known: Upstream, current: PublishedUpstream): boolean {
+  const { address, service, startedAt } = current;
   return known.published.address === address &&
     known.published.service === service &&
     known.published.startedAt === startedAt;
--- a/tests/upstreams/availability_test.ts
+++ b/tests/upstreams/availability_test.ts
@@ -10,33 +10,33 @@
   const availability = Availability.create();
   const changes: AvailabilityChange[] = [];
   availability.onChange = (change) => changes.push(change);
-  const askFor = (backoffMs: number, now: number) =>
+  const requestBackoff = (backoffMs: number, now: number) =>
     availability.note({ backoffMs, isLeaving: false }, now);
-  return { availability, changes, askFor };
+  return { availability, changes, requestBackoff };
 }
 
-test("of backoffs that overlap the one that ends last holds, in whatever order they come", (t) => {
-  const { availability, changes, askFor } = create();
-  askFor(3_000, 0);
-  askFor(500, 1_000);
+test("the overlapping backoff that ends last counts, in whatever order they arrive", (t) => {
+  const { availability, changes, requestBackoff } = create();
+  requestBackoff(3_000, 0);
+  requestBackoff(500, 1_000);
   t.false(availability.takesRequests(2_999));
   t.true(availability.takesRequests(3_000));
-  askFor(1_000, 2_500);
+  requestBackoff(1_000, 2_500);
   t.is(availability.getBackoffMs(3_000), 500);
   t.deepEqual(changes, ["backs_off"]);
 });
 
-test("an absurd time takes an upstream out for minutes, not for good", (t) => {
-  const { availability, askFor } = create();
-  askFor(1_000 * HOUR_MS, 0);
+test("an excessive backoff excludes an upstream for minutes, not permanently", (t) => {
+  const { availability, requestBackoff } = create();
+  requestBackoff(1_000 * HOUR_MS, 0);
   t.false(availability.takesRequests(60_000));
   t.true(availability.takesRequests(HOUR_MS));
 });
 
-test("after a backoff one request goes first, and twice as many with each that is taken", (t) => {
-  const { availability, changes, askFor } = create();
+test("after a backoff one trial request is sent, and the limit doubles with each accepted one", (t) => {
+  const { availability, changes, requestBackoff } = create();
   t.false(availability.beginRequest());
-  askFor(100, 0);
+  requestBackoff(100, 0);
   for (const limit of [1, 2, 4, 8]) {
     for (let index = 0; index < limit; index++) {
       t.true(availability.hasRoom(100));
@@ -51,47 +51,47 @@
   t.deepEqual(changes, ["backs_off", "reopened"]);
 });
 
-test("a request that is turned away again begins the count anew", (t) => {
-  const { availability, askFor } = create();
-  askFor(100, 0);
+test("a declined trial request resets the limit to one", (t) => {
+  const { availability, requestBackoff } = create();
+  requestBackoff(100, 0);
   availability.beginRequest();
   availability.endTrial(true);
   availability.beginRequest();
-  askFor(100, 200);
+  requestBackoff(100, 200);
   availability.endTrial(false);
   t.false(availability.takesRequests(299));
   t.true(availability.beginRequest());
   t.false(availability.hasRoom(300));
 });
 
-test("what says that it is leaving takes no request any more, whatever it says later", (t) => {
+test("an upstream that announced leaving accepts no more requests, whatever it announces later", (t) => {
   const { availability, changes } = create();
-  const say = (isLeaving: boolean) =>
+  const receiveNotice = (isLeaving: boolean) =>
     availability.note({ backoffMs: undefined, isLeaving }, 0);
-  say(true);
-  say(false);
-  say(true);
+  receiveNotice(true);
+  receiveNotice(false);
+  receiveNotice(true);
   t.true(availability.isLeaving);
   t.false(availability.takesRequests(HOUR_MS));
   t.deepEqual(changes, ["leaves"]);
 });
 
-test("an upstream that is found full again and again is tried ever more rarely, until it takes a request", (t) => {
+test("an upstream that repeatedly declines is tried at growing intervals, until it accepts a request", (t) => {
   const { availability } = create();
   let now = 0;
-  const findFullMs = () => {
+  const measureDeclineBackoffMs = () => {
     availability.noteFull(now);
     availability.noteFull(now + 1);
-    const from = now;
+    const declinedAt = now;
     while (!availability.hasRoom(now)) now += 10;
-    return now - from;
+    return now - declinedAt;
   };
   t.deepEqual(
-    Array.from({ length: 6 }, findFullMs),
+    Array.from({ length: 6 }, measureDeclineBackoffMs),
     [150, 300, 600, 1_200, 2_400, 2_400],
   );
   t.true(availability.beginRequest());
   availability.noteTaken();
   availability.endTrial(true);
-  t.is(findFullMs(), 150);
+  t.is(measureDeclineBackoffMs(), 150);
 });
--- a/tests/upstreams/choose_upstream_test.ts
+++ b/tests/upstreams/choose_upstream_test.ts
@@ -4,7 +4,7 @@
 import { Random } from "../../src/random/random.ts";
 import {
   type ChoiceOptions,
-  chooseUpstream as chooseWithBasis,
+  chooseUpstream as chooseUpstreamWithBasis,
 } from "../../src/upstreams/choose_upstream.ts";
 import { findFetchSource } from "../../src/upstreams/find_fetch_source.ts";
 import { type LoadCount, LoadCounts } from "../../src/upstreams/load_counts.ts";
@@ -15,7 +15,7 @@
 const CHAT = [{ name: PrefixIndex.nameOf("chat"), tokens: 500 }];
 
 function chooseUpstream(options: ChoiceOptions): Upstream | undefined {
-  return chooseWithBasis(options)?.upstream;
+  return chooseUpstreamWithBasis(options)?.upstream;
 }
 
 function createUpstreams(count: number): Upstream[] {
@@ -49,16 +49,16 @@
   };
 }
 
-test("a chat goes where its context is kept, on every host alike where nobody knows", (t) => {
+test("a chat goes to the engine that has its context cached, or if none is known to, to the same engine from every host", (t) => {
   const upstreams = createUpstreams(6);
   const prefixes = PrefixIndex.create();
   const first = chooseUpstream(
     buildOptions(upstreams, { sharedParts: CHAT, prefixes }),
   );
-  const elsewhere = chooseUpstream(
+  const chosenByOtherHost = chooseUpstream(
     buildOptions([...upstreams].reverse(), { sharedParts: CHAT }),
   );
-  t.is(first?.id, elsewhere?.id);
+  t.is(first?.id, chosenByOtherHost?.id);
   const other = upstreams.find((upstream) => upstream !== first)!;
   prefixes.noteSent(CHAT, other.shortName, false, 0);
   const again = chooseUpstream(
@@ -67,8 +67,8 @@
   t.is(again, other);
 });
 
-test("no choice puts an engine above twice the mean and three, whatever chats share", (t) => {
-  const keeps = fc.property(
+test("no choice puts an engine above twice the mean load plus three, whatever prompts the chats share", (t) => {
+  const staysWithinBound = fc.property(
     fc.integer({ min: 2, max: 12 }),
     fc.array(fc.nat(4), { minLength: 1, maxLength: 300 }),
     (count, chats) => {
@@ -80,15 +80,18 @@
         const chosen = chooseUpstream({ ...options, sharedParts })!;
         options.prefixes.noteSent(sharedParts, chosen.shortName, false, 0);
         chosen.ownRequests += 1;
-        const total = upstreams.reduce((sum, one) => sum + one.ownRequests, 0);
+        const total = upstreams.reduce(
+          (sum, upstream) => sum + upstream.ownRequests,
+          0,
+        );
         return chosen.ownRequests <= 2 * total / count + 3;
       });
     },
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 5, numRuns: 200 }));
+  t.notThrows(() => fc.assert(staysWithinBound, { seed: 5, numRuns: 200 }));
 });
 
-test("what runs once avoids an upstream that failed lately", (t) => {
+test("a request that can't be repeated avoids an upstream that failed recently", (t) => {
   const upstreams = createUpstreams(2);
   upstreams[0]!.health.note("silent", 0);
   upstreams[1]!.ownRequests = 2;
@@ -96,13 +99,13 @@
   t.is(chooseUpstream(cautious), upstreams[1]);
 });
 
-test("where all are left out, one is used all the same", (t) => {
+test("if all upstreams are ejected, one of them is used all the same", (t) => {
   const upstreams = createUpstreams(2);
   for (const upstream of upstreams) upstream.health.note("unreachable", 0);
   t.truthy(chooseUpstream(buildOptions(upstreams, { now: 1 })));
 });
 
-test("an engine fetches the deepest part it lacks from one that keeps it", (t) => {
+test("an engine fetches the deepest part that it lacks from one that has it cached", (t) => {
   const upstreams = createUpstreams(3);
   const prefixes = PrefixIndex.create();
   const parts = [{ name: 1, tokens: 10 }, { name: 2, tokens: 20 }];
@@ -115,7 +118,7 @@
   t.is(find(upstreams[1]!), undefined);
 });
 
-test("after a restart the first in a prompt's order fetches from the first that came before it", (t) => {
+test("after a restart the first engine in a prompt's order fetches from the first one that arrived before it", (t) => {
   const upstreams = createUpstreams(6);
   const first = chooseUpstream(buildOptions(upstreams, { sharedParts: CHAT }))!;
   const source = findFetchSource(
@@ -130,14 +133,14 @@
   t.true(isOlder);
 });
 
-test("a chat leaves its engine earlier where other hosts' counts are late", (t) => {
+test("a chat moves to another engine earlier if the counts of other hosts are old", (t) => {
   const upstreams = createUpstreams(4);
-  const keeping = upstreams[0]!;
+  const cachingEngine = upstreams[0]!;
   const prefixes = PrefixIndex.create();
-  prefixes.noteSent(CHAT, keeping.shortName, false, 0);
+  prefixes.noteSent(CHAT, cachingEngine.shortName, false, 0);
   const counts: LoadCount[] = upstreams.map(({ shortName }) => [
     shortName,
-    shortName === keeping.shortName ? 12 : 4,
+    shortName === cachingEngine.shortName ? 12 : 4,
   ]);
   const admission = StartAdmission.create(Random.create(3));
   admission.noteCompleted("s", "r", 1_000);
@@ -153,6 +156,6 @@
       }),
     );
   };
-  t.is(choose(50), keeping);
-  t.not(choose(800), keeping);
+  t.is(choose(50), cachingEngine);
+  t.not(choose(800), cachingEngine);
 });
--- a/tests/upstreams/load_counts_test.ts
+++ b/tests/upstreams/load_counts_test.ts
@@ -3,15 +3,15 @@
 import { Upstream } from "../../src/upstreams/upstream.ts";
 import { buildUpstream } from "../published/build_published.ts";
 
-test("the requests of all hosts are added up, a host's newest word counting alone", (t) => {
+test("the requests of all hosts are added up, with only the latest report of each host", (t) => {
   const upstream = Upstream.create(buildUpstream());
   const loads = LoadCounts.create();
-  const later = performance.now() + 60_000;
+  const inOneMinute = performance.now() + 60_000;
   upstream.ownRequests = 2;
   const record = (hostId: string, requests: number) =>
     loads.record(hostId, {
       toldAt: performance.now(),
-      usedUntil: later,
+      usedUntil: inOneMinute,
       counts: [[upstream.shortName, requests]],
     });
   record("a", 5);
@@ -20,7 +20,7 @@
   t.is(loads.getTotalRequests(upstream, performance.now()), 6);
 });
 
-test("counts that are too old are left out", (t) => {
+test("expired counts are excluded", (t) => {
   const upstream = Upstream.create(buildUpstream());
   const loads = LoadCounts.create();
   loads.record("a", {
@@ -31,7 +31,7 @@
   t.is(loads.getTotalRequests(upstream, performance.now()), 0);
 });
 
-test("an upstream's own word counts where it is more than hosts told, while it is new", (t) => {
+test("an upstream's own report counts while it is recent and higher than the counts of the hosts", (t) => {
   const upstream = Upstream.create(buildUpstream());
   const loads = LoadCounts.create();
   upstream.ownRequests = 2;
--- a/tests/upstreams/prefix_index_test.ts
+++ b/tests/upstreams/prefix_index_test.ts
@@ -2,13 +2,13 @@
 import { PrefixIndex } from "../../src/upstreams/prefix_index.ts";
 
 const ENGINE = 7;
-/** More facts than go into one datagram. */
+/** More parts than updates fit into one datagram. */
 const PARTS = Array.from(
   { length: 200 },
   (_, index) => ({ name: index + 1, tokens: 10 }),
 );
 
-test("facts are told once, by datagrams or all at a time", (t) => {
+test("queued updates are returned once, one datagram at a time or all together", (t) => {
   const prefixes = PrefixIndex.create();
   prefixes.noteSent(PARTS, ENGINE, false, 0);
   const first = prefixes.takeFacts();
@@ -17,7 +17,7 @@
   t.false(prefixes.hasUntold);
 });
 
-test("another's sighting is taken over with its age, and what is known to be later stays", (t) => {
+test("an entry from another host is merged with its age, and more recent local entries are kept", (t) => {
   const prefixes = PrefixIndex.create();
   prefixes.recall(1, [[ENGINE, 20_000]], 20_000);
   t.true(prefixes.isKept(1, ENGINE, 20_000));
--- a/tests/upstreams/retry_share_test.ts
+++ b/tests/upstreams/retry_share_test.ts
@@ -5,8 +5,8 @@
 
 const WINDOW_MS = 10_000;
 
-test("hosts together never spend more than the fleet's budget in any window", (t) => {
-  const keeps = fc.property(
+test("all hosts together never exceed the fleet's retry budget in any window", (t) => {
+  const staysWithinBudget = fc.property(
     fc.integer({ min: 1, max: 9 }),
     fc.array(
       fc.record({ gapMs: fc.nat(400), isRetry: fc.boolean() }),
@@ -31,23 +31,24 @@
           share.noteRequest(now);
           requests.push(now);
         } else if (share.spend(now)) retries.push(now);
-        const isIn = (at: number) => at > now - WINDOW_MS;
-        const allowed = 0.2 * requests.filter(isIn).length + 50;
-        return retries.filter(isIn).length <= allowed;
+        const isInWindow = (at: number) => at > now - WINDOW_MS;
+        const allowed = 0.2 * requests.filter(isInWindow).length + 50;
+        return retries.filter(isInWindow).length <= allowed;
       });
     },
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 3, numRuns: 300 }));
+  t.notThrows(() => fc.assert(staysWithinBudget, { seed: 3, numRuns: 300 }));
 });
 
-/** The load pattern of upstreams of one service that all fail some of their requests for a while. */
-const FAILING = { part: 0.45, fromMs: 10_000, untilMs: 14_000 };
-/** Budget of the fleet. */
+/** Failures of a service whose upstreams all fail a fraction of their requests for a while. */
+const FAILURES = { fraction: 0.45, fromMs: 10_000, untilMs: 14_000 };
+/** Retry ratio of the fleet's budget. */
 const RATIO = 0.2;
+/** Additional retries of the fleet's budget per window. */
 const EXTRA = 430;
 
-/** Sends requests at random hosts, and retries those that fail where their host allows it. */
-function runFailing(hosts: number, requestsPerSecond: number) {
+/** Sends requests through random hosts and retries failed ones if the host's share allows it. */
+function runWithFailures(hosts: number, requestsPerSecond: number) {
   const random = Random.create(hosts);
   const shares = Array.from({ length: hosts }, () =>
     RetryShare.create({
@@ -59,18 +60,18 @@
     }));
   const requests: number[] = [];
   const retries: number[] = [];
-  let wanted = 0;
+  let failures = 0;
   for (let now = 0; now < 20_000; now += 1_000 / requestsPerSecond) {
     const share = random.pick(shares);
     share.noteRequest(now);
     requests.push(now);
-    const isFailing = now >= FAILING.fromMs && now < FAILING.untilMs &&
-      random.fraction() < FAILING.part;
+    const isFailing = now >= FAILURES.fromMs && now < FAILURES.untilMs &&
+      random.fraction() < FAILURES.fraction;
     if (!isFailing) continue;
-    wanted += 1;
+    failures += 1;
     if (share.spend(now)) retries.push(now);
   }
-  return { requests, retries, wanted };
+  return { requests, retries, failures };
 }
 
 for (
@@ -81,13 +82,16 @@
     { hosts: 195, perSecond: 280 },
   ]
 ) {
-  // A share was always rounded down, so that at 195 hosts a fifth of the retries was refused.
-  test(`${hosts} hosts at ${perSecond} requests a second retry nearly all that fail, within the budget`, (t) => {
-    const { requests, retries, wanted } = runFailing(hosts, perSecond);
+  // Guards against rounding every share down, which refuses a fifth of the retries at 195 hosts.
+  test(`${hosts} hosts at ${perSecond} requests a second retry nearly all failed requests within the budget`, (t) => {
+    const { requests, retries, failures } = runWithFailures(hosts, perSecond);
     const allowed = EXTRA +
       RATIO * requests.filter((at) => at < WINDOW_MS).length;
-    t.true(wanted < allowed);
+    t.true(failures < allowed);
     t.true(retries.length <= allowed);
-    t.true(retries.length >= 0.85 * wanted, `${retries.length} of ${wanted}`);
+    t.true(
+      retries.length >= 0.85 * failures,
+      `${retries.length} of ${failures}`,
+    );
   });
 }
--- a/tests/upstreams/upstream_health_test.ts
+++ b/tests/upstreams/upstream_health_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { UpstreamHealth } from "../../src/upstreams/upstream_health.ts";
 
-test("an upstream whose connection broke is out of reach until it is heard again", (t) => {
+test("an upstream whose connection broke is unreachable until bytes are received from it again", (t) => {
   const health = UpstreamHealth.create();
   t.true(health.isReachable(-Infinity, 0));
   health.note("broken", 1_000);
@@ -9,7 +9,7 @@
   t.true(health.isReachable(1_050, 1_051));
 });
 
-test("an upstream that is not heard is out of reach for a while only", (t) => {
+test("an upstream without received bytes is unreachable only for a limited time", (t) => {
   const health = UpstreamHealth.create();
   health.note("unreachable", 1_000);
   t.false(health.isReachable(900, 3_900));
--- a/tests/upstreams/upstream_table_test.ts
+++ b/tests/upstreams/upstream_table_test.ts
@@ -6,10 +6,11 @@
 import { buildUpstream } from "../published/build_published.ts";
 
 const LISTED = { id: "u", revision: 1, upstream: buildUpstream({ id: "u" }) };
-const GONE = { id: "u", revision: 2, upstream: undefined };
+const UNLISTED = { id: "u", revision: 2, upstream: undefined };
 
 /** Creates a table.
- * @param lapsesForMs Time left in which missing entries may only have lapsed. */
+ * @param lapsesForMs Remaining time in which missing entries may only have lapsed, in milliseconds.
+ * @param restarted Receives the earlier instances of restarted upstreams. */
 function createTable(
   lapsesForMs: number,
   restarted: Upstream[] = [],
@@ -25,23 +26,23 @@
   });
 }
 
-test("an upstream gone from the list gets nothing new, and still gives others what it keeps", (t) => {
+test("an unlisted upstream gets no new requests, but is still present for fetches by others", (t) => {
   const table = createTable(-1);
   table.apply([LISTED]);
-  table.apply([GONE]);
+  table.apply([UNLISTED]);
   t.is(table.getServing("s").length, 0);
   t.is(table.getPresent("s").length, 1);
 });
 
-test("one that may only have lapsed in an outage is used on, and is listed once", (t) => {
+test("an upstream whose entry may only have lapsed in an outage remains in use, and is present once", (t) => {
   const table = createTable(60_000);
   table.apply([LISTED]);
-  table.apply([GONE]);
+  table.apply([UNLISTED]);
   t.is(table.getServing("s").length, 1);
   t.is(table.getPresent("s").length, 1);
 });
 
-test("one that leaves gets nothing new", (t) => {
+test("a leaving upstream gets no new requests", (t) => {
   const table = createTable(-1);
   const leaving = buildUpstream({ id: "u", isLeaving: true });
   table.apply([LISTED]);
@@ -49,15 +50,18 @@
   t.is(table.getServing("s").length, 0);
 });
 
-test("one that is missing when lapsed entries are to be back is taken as gone", async (t) => {
+test("an entry that is still missing when lapsed entries must be back is removed", async (t) => {
   const table = createTable(40);
   table.apply([LISTED]);
-  table.apply([GONE]);
-  await waitUntil("the time is over", () => table.getServing("s").length === 0);
+  table.apply([UNLISTED]);
+  await waitUntil(
+    "the time for lapsed entries is over",
+    () => table.getServing("s").length === 0,
+  );
   t.is(table.getPresent("s").length, 1);
 });
 
-test("a new start under the same id and address is another upstream, of which nothing is known", (t) => {
+test("a new instance under the same id and address starts without the state of the earlier one", (t) => {
   const restarted: Upstream[] = [];
   const table = createTable(-1, restarted);
   const list = (revision: number, startedAt?: number) =>
@@ -85,7 +89,7 @@
   t.deepEqual(restarted, [first]);
 });
 
-test("one that has crashed gets nothing new while its entry is still there", (t) => {
+test("a crashed upstream gets no new requests while its entry is still listed", (t) => {
   const table = createTable(-1);
   table.apply([LISTED]);
   const [only] = table.getServing("s");
@@ -96,7 +100,7 @@
   t.deepEqual(table.getServing("s"), [only]);
 });
 
-test("an upstream whose entry was missing for a while is held to what it said before, another start of it is not", (t) => {
+test("an instance that is listed again keeps its availability, another instance starts afresh", (t) => {
   const table = createTable(-1);
   const list = (revision: number, startedAt: number) =>
     table.apply([{
@@ -106,10 +110,10 @@
     }]);
   list(1, 5);
   table.getServing("s")[0]!.availability.recordLeaving();
-  table.apply([GONE]);
+  table.apply([UNLISTED]);
   list(3, 5);
   t.is(table.getServing("s").length, 0);
-  table.apply([GONE]);
+  table.apply([UNLISTED]);
   list(5, 6);
   t.is(table.getServing("s").length, 1);
 });
