--- a/src/upstream/deferred_abort.ts
+++ b/src/upstream/deferred_abort.ts
@@ -1,6 +1,7 @@
 import { closeAfterDeclineWindow } from "../upstreams/decline_window.ts";
 
-/** Aborts a request to an upstream: at once after the head of its answer, before it once a decline would have arrived. */
+/** Aborts a request to an upstream: immediately if the response head has arrived, otherwise once a decline would have
+ * arrived. */
 export class DeferredAbort {
   private readonly controller = new AbortController();
   private hasResponseHead = false;
@@ -13,19 +14,19 @@
     }, { once: true });
   }
 
-  /** Creates one for a request that is being sent.
-   * @param source Aborted when nobody waits for the answer.
+  /** Creates a deferred abort for a request that is being sent.
+   * @param source Aborted when nobody waits for the response any more.
    * @param sentAt Monotonic milliseconds at which the request is sent. */
   static create(source: AbortSignal, sentAt: number): DeferredAbort {
     return new DeferredAbort(source, sentAt);
   }
 
-  /** Aborted when the connection is to be closed. */
+  /** Signal that is aborted when the connection is to be closed. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Records that the head of the answer has arrived. */
+  /** Records that the response head has arrived. */
   recordResponseHead(): void {
     this.hasResponseHead = true;
   }
--- a/src/upstream/engine_event.ts
+++ b/src/upstream/engine_event.ts
@@ -2,9 +2,9 @@
 
 /** One event of an engine's stream: a chat completion chunk that names its request. */
 export const engineEventSchema = z.object({
-  /** Id of the request the event answers. */
+  /** Id of the request that the event belongs to. */
   id: z.string(),
-  /** Number of the event in the answer, from 0. */
+  /** Index of the event in the response, from 0. */
   index: z.number().int().nonnegative(),
   choices: z.array(
     z.object({ delta: z.object({ content: z.string().optional() }) }),
@@ -19,5 +19,5 @@
 /** One event of an engine's stream. */
 export type EngineEvent = z.infer<typeof engineEventSchema>;
 
-/** The line that ends a whole stream. */
+/** Line that marks the end of a complete stream. */
 export const DONE_LINE = "data: [DONE]";
--- a/src/upstream/event_stream_parser.ts
+++ b/src/upstream/event_stream_parser.ts
@@ -7,17 +7,17 @@
 const EVENT_SEPARATOR = "\n\n";
 const DATA_PREFIX = "data: ";
 
-/** Whole events cut from a stream. */
+/** Complete events parsed from a stream. */
 export interface ParsedEvents {
-  /** The events as they came, separators included. */
+  /** The events as received, including separators. */
   bytes: Buffer;
   events: EngineEvent[];
-  /** Whether the end marker was among them. */
+  /** Whether the end marker has been read. */
   done: boolean;
 }
 
-/** Cuts a stream of server-sent events into whole events and checks that each belongs to one request.
- * Throws where an event names another request, is out of order, or follows the end marker. */
+/** Splits a stream of server-sent events into complete events and checks that each belongs to one request. Throws if an
+ * event names another request, is out of order, or follows the end marker. */
 export class EventStreamParser {
   private buffered = "";
   private hasReadEndMarker = false;
@@ -28,67 +28,73 @@
   ) {}
 
   /** Creates a parser.
-   * @param requestId Id that each event must name.
-   * @param firstIndex Number of the first event expected. */
+   * @param requestId Request id that each event must contain.
+   * @param firstIndex Index of the first expected event. */
   static create(requestId: string, firstIndex: number): EventStreamParser {
     return new EventStreamParser(requestId, firstIndex);
   }
 
-  /** Takes more of the stream.
-   * @param text The next part, cut anywhere between characters.
-   * @returns The events that are whole now. */
+  /** Parses the next chunk of the stream.
+   * @param text The chunk; may start and end anywhere between characters.
+   * @returns The events that this chunk completes. */
   push(text: string): ParsedEvents {
-    const all = this.buffered + text;
-    const end = all.lastIndexOf(EVENT_SEPARATOR);
-    if (end < 0) {
-      this.buffered = all;
+    const pending = this.buffered + text;
+    const lastSeparator = pending.lastIndexOf(EVENT_SEPARATOR);
+    if (lastSeparator < 0) {
+      this.buffered = pending;
       return {
         bytes: Buffer.alloc(0),
         events: [],
         done: this.hasReadEndMarker,
       };
     }
-    const whole = all.slice(0, end + EVENT_SEPARATOR.length);
-    this.buffered = all.slice(end + EVENT_SEPARATOR.length);
+    const complete = pending.slice(0, lastSeparator + EVENT_SEPARATOR.length);
+    this.buffered = pending.slice(lastSeparator + EVENT_SEPARATOR.length);
     const events: EngineEvent[] = [];
-    for (const line of whole.split(EVENT_SEPARATOR)) {
+    for (const line of complete.split(EVENT_SEPARATOR)) {
       const event = line === "" ? undefined : this.parseLine(line);
       if (event) events.push(event);
     }
-    return { bytes: Buffer.from(whole), events, done: this.hasReadEndMarker };
+    return {
+      bytes: Buffer.from(complete),
+      events,
+      done: this.hasReadEndMarker,
+    };
   }
 
-  /** Number of the next event expected. */
+  /** Index of the next expected event. */
   get position(): number {
     return this.nextIndex;
   }
 
-  /** Whether the end marker was read. */
+  /** Whether the end marker has been read. */
   get isDone(): boolean {
     return this.hasReadEndMarker;
   }
 
   private parseLine(line: string): EngineEvent | undefined {
     if (this.hasReadEndMarker) {
-      throw new Error("an event follows the end marker");
+      throw new Error("event received after the end marker");
     }
     if (line === DONE_LINE) {
       this.hasReadEndMarker = true;
       return undefined;
     }
     if (!line.startsWith(DATA_PREFIX)) {
-      throw new Error("a line is not an event");
+      throw new Error("stream line is not a data event");
     }
     const event = engineEventSchema.parse(
       JSON.parse(line.slice(DATA_PREFIX.length)),
     );
     if (event.id !== this.requestId) {
       throw new Error(
-        `an event of ${event.id} in the answer to ${this.requestId}`,
+        `event of request ${event.id} in the response to ${this.requestId}`,
       );
     }
     if (event.index !== this.nextIndex) {
-      throw new Error(`event ${event.index} where ${this.nextIndex} is due`);
+      throw new Error(
+        `event index ${event.index} received, ${this.nextIndex} expected`,
+      );
     }
     this.nextIndex += 1;
     return event;
--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -18,10 +18,10 @@
   models: z.array(z.string()).optional(),
 });
 
-/** What an upstream says of itself. */
+/** Status report of an upstream. */
 export type UpstreamReport = z.infer<typeof reportSchema>;
 
-/** A request as it goes to an upstream. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
   requestId: string;
   method: string;
@@ -30,31 +30,31 @@
   body: Uint8Array;
   priority: number;
   repeatable: boolean;
-  /** Events of the answer that the caller already has. */
+  /** Number of events of the response that the caller already has. */
   resumeFrom: number;
-  /** Names this sending of the request; a later one with the same id takes its stream over. */
+  /** Id of this attempt at the request; a later attempt at the same request takes over its stream. */
   attempt: string;
   signal: AbortSignal;
 }
 
-/** A whole answer of a service. */
+/** A complete response of a service. */
 export interface ServiceResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
-/** In every answer of an upstream that leaves. */
+/** Header in every response of a leaving upstream. */
 const LEAVING_HEADER = { name: "x-leaving", value: "true" };
 const CONNECT_TIMEOUT_MS = 1_000;
 const REPORT_TIMEOUT_MS = 1_000;
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Speaks to one upstream over HTTP; the form of its protocol stands only here. */
+/** HTTP client of one upstream; encapsulates the upstream protocol. */
 export class UpstreamClient {
   private readonly agent: Agent;
   private readonly url: string;
-  /** Told of what the upstream said of whether it takes requests, where that changed. */
+  /** Called when the availability of the upstream has changed. */
   onAvailability: (change: AvailabilityChange) => void = () => undefined;
   private currentAvailability = this.createAvailability();
   private leavingSeenAt = -Infinity;
@@ -70,21 +70,21 @@
 
   /** Creates a client without connections.
    * @param host The upstream.
-   * @param stallTimeoutMs Silence that counts as failure. */
+   * @param stallTimeoutMs Time without received data after which a request fails, in milliseconds. */
   static create(host: Host, stallTimeoutMs: number): UpstreamClient {
     return new UpstreamClient(host, stallTimeoutMs);
   }
 
-  /** What the upstream said in its answers of whether it takes requests. */
+  /** Whether the upstream accepts requests, according to its responses. */
   get availability(): Availability {
     return this.currentAvailability;
   }
 
-  /** Reads the upstream's report. A report that was asked for after the upstream said it leaves, and doesn't say so, is of
-   * another start of it, which knows nothing of what the one before said.
-   * @throws UpstreamError where it is turned away. */
+  /** Reads the upstream's report. If the upstream announced that it is leaving, and a report that was requested later
+   * does not say so, the report is from another instance, and the availability starts afresh.
+   * @throws UpstreamError if the upstream answers with an error status. */
   async readReport(): Promise<UpstreamReport> {
-    const askedAt = readClock();
+    const requestedAt = readClock();
     const response = await request(`${this.url}/report`, {
       dispatcher: this.agent,
       headersTimeout: REPORT_TIMEOUT_MS,
@@ -93,16 +93,16 @@
     this.recordAvailability(response);
     if (response.statusCode !== 200) throw await this.refused(response);
     const report = reportSchema.parse(await response.body.json());
-    const isOtherStart = this.currentAvailability.isLeaving &&
+    const isOtherInstance = this.currentAvailability.isLeaving &&
       !report.leaving &&
       response.headers[LEAVING_HEADER.name] === undefined &&
-      askedAt > this.leavingSeenAt;
-    if (isOtherStart) this.currentAvailability = this.createAvailability();
+      requestedAt > this.leavingSeenAt;
+    if (isOtherInstance) this.currentAvailability = this.createAvailability();
     return report;
   }
 
-  /** Gives a fenced order; returns whether the upstream took it.
-   * @param fence Revision behind the order; an upstream that checks refuses one below the last.
+  /** Sends a fenced order and returns whether the upstream accepted it.
+   * @param fence Revision that the order is based on; an upstream that checks fences refuses one below the last.
    * @param models Models to serve. */
   async sendOrder(fence: number, models: readonly string[]): Promise<boolean> {
     const response = await request(`${this.url}/orders`, {
@@ -119,7 +119,7 @@
 
   /** Tells an engine to stop working on a request; failures are ignored.
    * @param requestId The request.
-   * @param attempt The sending to cancel; where another took the stream over, the engine goes on. */
+   * @param attempt Id of the attempt to cancel; if another attempt has taken over the stream, the engine continues. */
   async cancel(requestId: string, attempt: string): Promise<void> {
     const path = `${this.url}/v1/requests/${
       encodeURIComponent(requestId)
@@ -136,15 +136,15 @@
       }, () => undefined);
   }
 
-  /** Runs a chat and yields its events as they come; ends only after the engine's end marker.
-   * The body is read to its end, so that the connection serves the next request.
+  /** Runs a chat and yields its events as they arrive; completes only after the engine's end marker. Reads the response
+   * body to its end, so that the connection can be reused.
    * @param work The request. */
   async *streamChat(work: UpstreamRequest): AsyncGenerator<ParsedEvents> {
     const response = await this.send(work, this.agent);
     if (response.statusCode !== 200) throw await this.refused(response);
     if (response.headers["x-request-id"] !== work.requestId) {
       response.body.destroy();
-      throw UpstreamError.create("unknown", "the answer names another request");
+      throw UpstreamError.create("unknown", "response has another request id");
     }
     const parser = EventStreamParser.create(work.requestId, work.resumeFrom);
     response.body.setEncoding("utf8");
@@ -155,13 +155,13 @@
     if (!parser.isDone) {
       throw UpstreamError.create(
         "unknown",
-        "the stream ended before its end marker",
+        "event stream ended before its end marker",
       );
     }
   }
 
-  /** Calls a service and returns its whole answer.
-   * @param work The request; one that may not be repeated goes over a connection of its own. */
+  /** Calls a service and returns its complete response.
+   * @param work The request; one that may not be repeated uses a connection of its own. */
   async call(work: UpstreamRequest): Promise<ServiceResponse> {
     const dispatcher = work.repeatable
       ? this.agent
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
@@ -186,20 +186,23 @@
     work: UpstreamRequest,
     dispatcher: Dispatcher,
   ): Promise<Dispatcher.ResponseData> {
-    const { currentAvailability: said } = this;
-    if (!said.takesRequests(readClock())) {
-      throw UpstreamError.create("no", "the upstream takes no requests");
+    const { currentAvailability: availability } = this;
+    if (!availability.takesRequests(readClock())) {
+      throw UpstreamError.create(
+        "no",
+        "upstream accepts no requests at present",
+      );
     }
-    const isTrial = said.beginRequest();
-    let wasTaken = false;
+    const isTrial = availability.beginRequest();
+    let wasAccepted = false;
     try {
       const response = await this.dispatch(work, dispatcher);
       this.recordAvailability(response);
-      wasTaken = response.headers["x-not-run"] !== "true";
+      wasAccepted = response.headers["x-not-run"] !== "true";
       if (work.signal.aborted) throw discardResponse(response);
       return response;
     } finally {
-      if (isTrial) said.endTrial(wasTaken);
+      if (isTrial) availability.endTrial(wasAccepted);
     }
   }
 
@@ -209,7 +212,7 @@
     return availability;
   }
 
-  /** Takes what an answer says beside what it answers. */
+  /** Records what a response states about the availability of the upstream. */
   private recordAvailability(
     { statusCode, headers }: Dispatcher.ResponseData,
   ): void {
@@ -250,10 +253,13 @@
   ): Promise<ServiceResponse> {
     const body = Buffer.from(await response.body.arrayBuffer());
     if (response.headers["x-request-id"] !== requestId) {
-      throw UpstreamError.create("unknown", "the answer names another request");
+      throw UpstreamError.create("unknown", "response has another request id");
     }
     if (body.length > MAX_RESPONSE_BYTES) {
-      throw UpstreamError.create("unknown", "the answer exceeds the limit");
+      throw UpstreamError.create(
+        "unknown",
+        "response body exceeds the limit of 4 MiB",
+      );
     }
     const contentType = String(
       response.headers["content-type"] ?? "application/octet-stream",
@@ -272,13 +278,13 @@
     const ran = response.headers["x-not-run"] === "true" ? "no" : "unknown";
     return UpstreamError.create(
       ran,
-      `the upstream answered ${response.statusCode}`,
+      `upstream responded with status ${response.statusCode}`,
     );
   }
 }
 
-/** Drops an answer that nobody waits for; returns the error to throw in its place. */
+/** Discards a response that nobody waits for any more; returns the error to throw instead. */
 function discardResponse(response: Dispatcher.ResponseData): UpstreamError {
   response.body.destroy();
-  return UpstreamError.create("unknown", "the request was aborted");
+  return UpstreamError.create("unknown", "request was aborted");
 }
--- a/src/upstream/upstream_error.ts
+++ b/src/upstream/upstream_error.ts
@@ -1,7 +1,7 @@
 /** A failed call to an upstream. */
 export class UpstreamError extends Error {
   private constructor(
-    /** "no" where it is certain that the upstream did not run the request. */
+    /** "no" if it is certain that the upstream did not run the request. */
     readonly ran: "no" | "unknown",
     message: string,
   ) {
@@ -9,15 +9,15 @@
   }
 
   /** Creates an error.
-   * @param ran Whether the request ran.
-   * @param message What happened. */
+   * @param ran Whether the upstream may have run the request.
+   * @param message Description of the failure. */
   static create(ran: "no" | "unknown", message: string): UpstreamError {
     return new UpstreamError(ran, message);
   }
 
-  /** Turns anything thrown into an upstream error.
-   * Only a connection that was never made is certain not to have carried the request.
-   * @param thrown The value that was thrown. */
+  /** Converts any thrown value to an upstream error. The request certainly did not run only if the connection was never
+   * established.
+   * @param thrown The thrown value. */
   static from(thrown: unknown): UpstreamError {
     if (thrown instanceof UpstreamError) return thrown;
     const { code, message } = thrown as { code?: string; message?: string };
--- a/tests/upstream/upstream_client_test.ts
+++ b/tests/upstream/upstream_client_test.ts
@@ -8,8 +8,8 @@
 } from "../../src/upstream/upstream_client.ts";
 import { buildService } from "../owner/build_fleet.ts";
 
-/** Longer than a test takes, in milliseconds. */
-const LONG_MS = 60_000;
+/** Stall timeout longer than a test takes, in milliseconds. */
+const STALL_TIMEOUT_MS = 60_000;
 
 function buildRequest(signal: AbortSignal): UpstreamRequest {
   return {
@@ -26,8 +26,8 @@
   };
 }
 
-/** Starts a server that aborts a request once it has it, then answers. */
-async function serveAborted(
+/** Starts a server that aborts each request when it receives it, then answers. */
+async function startAbortingServer(
   controller: AbortController,
   status: number,
   headers: Record<string, string>,
@@ -42,11 +42,11 @@
   return server;
 }
 
-async function chatAborted(status: number, headers: Record<string, string>) {
+async function runAbortedChat(status: number, headers: Record<string, string>) {
   const controller = new AbortController();
-  const server = await serveAborted(controller, status, headers);
+  const server = await startAbortingServer(controller, status, headers);
   const { port } = server.address() as AddressInfo;
-  const client = UpstreamClient.create(buildService(port), LONG_MS);
+  const client = UpstreamClient.create(buildService(port), STALL_TIMEOUT_MS);
   const chat = client.streamChat(buildRequest(controller.signal));
   const error = await chat.next().then(() => undefined, (thrown) => thrown);
   const hasBackoff = client.availability.getBackoffMs(performance.now()) > 0;
@@ -56,9 +56,10 @@
   return { error, hasBackoff };
 }
 
-// A caller that left closed the connection on which the upstream was asking for a backoff, and the next requests went there.
+// If a caller's abort closed the connection before the decline arrived, its backoff would be lost and the next requests
+// would be sent to the same upstream.
 test("an aborted request still records the backoff of a decline", async (t) => {
-  const { error, hasBackoff } = await chatAborted(503, {
+  const { error, hasBackoff } = await runAbortedChat(503, {
     "x-not-run": "true",
     "retry-after": "5",
   });
@@ -66,8 +67,8 @@
   t.true(hasBackoff);
 });
 
-test("an aborted request ends once its answer begins", async (t) => {
-  const { error, hasBackoff } = await chatAborted(200, {
+test("an aborted request ends as soon as its response begins", async (t) => {
+  const { error, hasBackoff } = await runAbortedChat(200, {
     "x-request-id": "r-1",
   });
   t.truthy(error);
