--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -1,17 +1,17 @@
 import type { Random } from "../random/random.ts";
 
-/** What a policy knows when it orders candidates. */
+/** Input of a policy for ordering candidates. */
 export interface PolicyContext {
   random: Random;
-  /** Load of an upstream as last told, or 0. */
+  /** Returns the last reported load of an upstream, or 0. */
   getLoad: (upstreamId: string) => number;
 }
 
-/** How candidates are tried. */
+/** Policy for the order in which candidates are tried. */
 export interface Policy {
-  /** Whether the owner holds upstreams to a multiple of the mean. */
+  /** Whether the owner limits the load of upstreams to a multiple of the mean. */
   isBounded: boolean;
-  /** Orders the candidates, which come in the order of the chat's key. */
+  /** Orders the candidates, which are given in the order of the chat's key. */
   order: (
     candidates: readonly string[],
     context: PolicyContext,
@@ -41,7 +41,7 @@
     : [second, first, ...others];
 }
 
-/** The policies by name; all but `bounded` serve as baselines for measurements. */
+/** Policies by name; all but `bounded` are baselines for benchmarks. */
 export const POLICIES = {
   bounded: { isBounded: true, order: (candidates) => candidates },
   rendezvous: { isBounded: false, order: (candidates) => candidates },
--- a/tests/placement/placement_table_test.ts
+++ b/tests/placement/placement_table_test.ts
@@ -3,7 +3,7 @@
 import { PlacementTable } from "../../src/placement/placement_table.ts";
 import type { Host } from "../../src/configuration_service/host_schema.ts";
 
-function host(id: string, role: Host["role"], hall = "a"): Host {
+function buildHost(id: string, role: Host["role"], hall = "a"): Host {
   const fields = {
     partner: "kilima",
     region: "dar",
@@ -20,13 +20,18 @@
   routers: readonly string[] = ["r1", "r2", "r3"],
 ): PlacementTable {
   const views = routers.map((id) => ({
-    host: host(id, "router"),
+    host: buildHost(id, "router"),
     heard: true,
     lost: false,
     unavailable: false,
   }));
   return PlacementTable.create(
-    FleetView.create("r1", 1, views, engines.map((id) => host(id, "engine"))),
+    FleetView.create(
+      "r1",
+      1,
+      views,
+      engines.map((id) => buildHost(id, "engine")),
+    ),
     "dar",
   );
 }
@@ -36,15 +41,15 @@
   { length: 2_000 },
   (_, index) => `kilima/rosters/chat-${index}`,
 );
-const NEED = { role: "engine", model: "m1" } as const;
+const REQUIREMENT = { role: "engine", model: "m1" } as const;
 
-test("an engine that leaves moves only its own chats, each to its second home", (t) => {
+test("removing an engine moves only its own chats, each to the second engine in its order", (t) => {
   const before = createTable(ENGINES);
   const after = createTable(ENGINES.slice(1));
   for (const chat of CHATS) {
-    const [first, second] = before.getCandidates(NEED, chat);
+    const [first, second] = before.getCandidates(REQUIREMENT, chat);
     t.is(
-      after.getCandidates(NEED, chat)[0],
+      after.getCandidates(REQUIREMENT, chat)[0],
       first === "engine-0" ? second : first,
     );
   }
@@ -54,20 +59,20 @@
   const table = createTable(ENGINES);
   const counts = new Map<string, number>();
   for (const chat of CHATS) {
-    const first = table.getCandidates(NEED, chat)[0]!;
+    const first = table.getCandidates(REQUIREMENT, chat)[0]!;
     counts.set(first, (counts.get(first) ?? 0) + 1);
   }
   t.is(counts.size, ENGINES.length);
   t.true(Math.max(...counts.values()) < 2 * CHATS.length / ENGINES.length);
 });
 
-test("a router that is lost moves only its own upstreams", (t) => {
+test("losing a router moves only its own upstreams", (t) => {
   const before = createTable(ENGINES);
   const after = createTable(ENGINES, ["r1", "r3"]);
   for (const id of ENGINES) {
-    const [first, second] = before.getOwners(host(id, "engine"));
+    const [first, second] = before.getOwners(buildHost(id, "engine"));
     t.is(
-      after.getOwners(host(id, "engine"))[0],
+      after.getOwners(buildHost(id, "engine"))[0],
       first === "r2" ? second : first,
     );
   }
