--- a/src/hashing/host_ring.ts
+++ b/src/hashing/host_ring.ts
@@ -5,8 +5,8 @@
   name: string;
 }
 
-/** Names on a ring of 32-bit places: a key belongs to the names that follow its position, and a name that comes or goes
- * moves only the keys beside it. */
+/** Consistent hash ring of names with 32-bit positions. A key belongs to the names that follow its position, so adding
+ * or removing a name moves only the keys next to it. */
 export class HostRing {
   private constructor(private readonly points: readonly RingPoint[]) {}
 
@@ -20,9 +20,9 @@
     return new HostRing(points);
   }
 
-  /** The names that follow a position, fewer where the ring has fewer.
-   * @param position Unsigned 32-bit number.
-   * @param count Most names. */
+  /** Returns the names that follow a position; fewer than requested if the ring has fewer.
+   * @param position Position as an unsigned 32-bit number.
+   * @param count Maximum number of names. */
   getFollowing(position: number, count: number): string[] {
     const { length } = this.points;
     const first = this.findFirstIndex(position);
@@ -32,7 +32,7 @@
     );
   }
 
-  /** Index of the first point at or after a position. */
+  /** Returns the index of the first point at or after a position. */
   private findFirstIndex(position: number): number {
     let low = 0;
     let high = this.points.length;
--- a/src/hashing/rendezvous.ts
+++ b/src/hashing/rendezvous.ts
@@ -1,9 +1,9 @@
 import { hashText } from "./hasher.ts";
 
-/** Ranks names for a key by rendezvous hashing, the highest score first.
- * Every process with the same names computes the same order, and removing a name moves only the keys it held.
- * @param key The key to place.
- * @param names The names to rank. */
+/** Ranks names for a key by rendezvous hashing, highest score first. Every process with the same names computes the
+ * same order, and removing a name moves only the keys that it held.
+ * @param key The key.
+ * @param names Names to rank. */
 export function rankByRendezvous(
   key: string,
   names: readonly string[],
--- a/tests/hashing/request_fingerprint_test.ts
+++ b/tests/hashing/request_fingerprint_test.ts
@@ -13,23 +13,23 @@
   body: Buffer.from("body"),
 };
 
-const OTHERS: Record<string, Partial<RequestIdentity>> = {
+const DIFFERENCES: Record<string, Partial<RequestIdentity>> = {
   method: { method: "PUT" },
   host: { host: "b.example" },
   path: { path: "/a/b?c=e" },
   customer: { customer: undefined },
   body: { body: Buffer.from("bodY") },
-  "no body": { body: undefined },
+  "presence of a body": { body: undefined },
 };
 
-test("the same request has the same fingerprint each time", (t) => {
+test("equal requests have the same fingerprint", (t) => {
   const again = { ...IDENTITY, body: Buffer.from("body") };
   t.is(fingerprintRequest(again), fingerprintRequest(IDENTITY));
   t.regex(describeFingerprint(fingerprintRequest(IDENTITY)), /^[0-9a-f]{12}$/);
 });
 
-for (const [what, change] of Object.entries(OTHERS)) {
-  test(`a request with another ${what} has another fingerprint`, (t) => {
+for (const [difference, change] of Object.entries(DIFFERENCES)) {
+  test(`a request that differs in ${difference} has a different fingerprint`, (t) => {
     const other = fingerprintRequest({ ...IDENTITY, ...change });
     t.not(other, fingerprintRequest(IDENTITY));
   });
