--- a/src/admission/start_admission.ts
+++ b/src/admission/start_admission.ts
@@ -1,13 +1,13 @@
 import type { Random } from "../random/random.ts";
 import type { ArrivalRate } from "./arrival_rate.ts";
-import { PromptPopularity } from "./prompt_popularity.ts";
+import { PromptPopularity } from "./popularity.ts";
 import { ResidenceTime } from "./residence_time.ts";
 import {
   computeAdmissionProbability,
   computeCompletedFraction,
   computeHeadroom,
   type UpstreamLoad,
-} from "./admission_probability.ts";
+} from "./start_probability.ts";
 import { getOrCreateLruEntry } from "./lru_entry.ts";
 
 /** Maximum number of tracked services, and of tracked routes. Bounded because routes come and go with each
--- a/src/upstream/event_stream_parser.ts
+++ b/src/upstream/event_stream_parser.ts
@@ -73,9 +73,7 @@
   }
 
   private parseLine(line: string): EngineEvent | undefined {
-    if (this.hasReadEndMarker) {
-      throw new Error("event received after the end marker");
-    }
+    if (this.hasReadEndMarker) throw new Error("event after the end marker");
     if (line === DONE_LINE) {
       this.hasReadEndMarker = true;
       return undefined;
--- a/src/upstreams/upstream.ts
+++ b/src/upstreams/upstream.ts
@@ -2,7 +2,7 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PublishedUpstream } from "../published/upstream_schema.ts";
 import { Availability } from "./availability.ts";
-import { ConnectionPool } from "./connection_pool.ts";
+import { ConnectionPool } from "./channel_pool.ts";
 import { UpstreamHealth } from "./upstream_health.ts";
 
 /** State of one instance of an upstream in this process. */
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -11,7 +11,7 @@
 const LAPSE_GRACE_FRACTION = 0.8;
 /** Time for which an upstream that is no longer listed counts as present, in milliseconds. Leaving upstreams continue
  * to serve slightly longer than the two seconds after which they get no new requests. */
-const UNLISTED_RETENTION_MS = 3_000;
+const UNLISTED_TTL_MS = 3_000;
 
 /** Time for which a crashed upstream gets no requests, in milliseconds; about as long as its entry remains listed and a
  * restart takes. */
@@ -42,7 +42,7 @@
   private readonly byId = new Map<string, Upstream>();
   private readonly byService = new Map<string, Upstream[]>();
   /** Upstreams that are no longer listed, with the monotonic milliseconds of their removal. */
-  private readonly recentlyUnlisted = new Map<Upstream, number>();
+  private readonly unlisted = new Map<Upstream, number>();
   /** By id, removed instances that had announced leaving or asked for a backoff; their entries may come back. */
   private readonly rememberedInstances = new Map<string, Upstream>();
 
@@ -94,12 +94,10 @@
    * @param service Name of the service. */
   getPresent(service: string): readonly Upstream[] {
     const now = readClock();
-    for (const [upstream, removedAt] of this.recentlyUnlisted) {
-      if (now - removedAt > UNLISTED_RETENTION_MS) {
-        this.recentlyUnlisted.delete(upstream);
-      }
+    for (const [upstream, removedAt] of this.unlisted) {
+      if (now - removedAt > UNLISTED_TTL_MS) this.unlisted.delete(upstream);
     }
-    const departed = [...this.recentlyUnlisted.keys()].filter((upstream) =>
+    const departed = [...this.unlisted.keys()].filter((upstream) =>
       upstream.published.service === service
     );
     return [...this.byService.get(service) ?? [], ...departed];
@@ -148,7 +146,7 @@
 
   private applyEntry(published: PublishedUpstream): void {
     const known = this.byId.get(published.id);
-    if (known) this.recentlyUnlisted.delete(known);
+    if (known) this.unlisted.delete(known);
     if (known && isSameInstance(known, published)) {
       known.published = published;
       known.lapseEndsAt = undefined;
@@ -226,7 +224,7 @@
 
   /** Removes an upstream that is no longer listed; it still counts as present for a short time. */
   private removeUnlisted(upstream: Upstream): void {
-    this.recentlyUnlisted.set(upstream, readClock());
+    this.unlisted.set(upstream, readClock());
     this.drop(upstream);
   }
 
--- a/tests/upstreams/retry_share_test.ts
+++ b/tests/upstreams/retry_share_test.ts
@@ -41,7 +41,7 @@
 });
 
 /** Failures of a service whose upstreams all fail a fraction of their requests for a while. */
-const FAILURES = { fraction: 0.45, fromMs: 10_000, untilMs: 14_000 };
+const FAILURES = { part: 0.45, fromMs: 10_000, untilMs: 14_000 };
 /** Retry ratio of the fleet's budget. */
 const RATIO = 0.2;
 /** Additional retries of the fleet's budget per window. */
@@ -66,7 +66,7 @@
     share.noteRequest(now);
     requests.push(now);
     const isFailing = now >= FAILURES.fromMs && now < FAILURES.untilMs &&
-      random.fraction() < FAILURES.fraction;
+      random.fraction() < FAILURES.part;
     if (!isFailing) continue;
     failures += 1;
     if (share.spend(now)) retries.push(now);
