--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -82,7 +82,7 @@
 
   /** Reads the upstream's report. If the upstream announced that it is leaving, and a report that was requested later
    * does not say so, the report is from another instance, and the availability starts afresh.
-   * @throws UpstreamError if the upstream answers with an error status. */
+   * @throws UpstreamError if the response status is not 200. */
   async readReport(): Promise<UpstreamReport> {
     const requestedAt = readClock();
     const response = await request(`${this.url}/report`, {
--- a/src/upstreams/upstream.ts
+++ b/src/upstreams/upstream.ts
@@ -61,7 +61,7 @@
     return this.published.address;
   }
 
-  /** Whether it is leaving, according to its entry or to its responses. */
+  /** Whether it is leaving, according to its entry or to its responses, whichever came first. */
   get isLeaving(): boolean {
     return this.published.isLeaving || this.availability.isLeaving;
   }
