--- a/src/upstreams/load_counts.ts
+++ b/src/upstreams/load_counts.ts
@@ -114,8 +114,8 @@
       counted.hosts += 1;
       counted.reportedAtSum += toldAt;
       counted.oldestReportedAt = Math.min(counted.oldestReportedAt, toldAt);
-      for (const [shortName, requests] of counts) {
-        sums.set(shortName, (sums.get(shortName) ?? 0) + requests);
+      for (const [instanceHash, requests] of counts) {
+        sums.set(instanceHash, (sums.get(instanceHash) ?? 0) + requests);
       }
     }
     this.foreign = sums;
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -60,10 +60,10 @@
   }
 
   /** Returns the upstream with an instance hash, if there is one.
-   * @param shortName Hash of the upstream instance. */
-  findByShortName(shortName: number): Upstream | undefined {
+   * @param instanceHash Hash of the upstream instance. */
+  findByShortName(instanceHash: number): Upstream | undefined {
     return [...this.byId.values()].find((upstream) =>
-      upstream.shortName === shortName
+      upstream.shortName === instanceHash
     );
   }
 
