--- a/src/upstream/event_stream_parser.ts
+++ b/src/upstream/event_stream_parser.ts
@@ -20,7 +20,7 @@
  * event names another request, is out of order, or follows the end marker. */
 export class EventStreamParser {
   private buffered = "";
-  private hasReadEndMarker = false;
+  private hasEndMarker = false;
 
   private constructor(
     private readonly requestId: string,
@@ -45,7 +45,7 @@
       return {
         bytes: Buffer.alloc(0),
         events: [],
-        done: this.hasReadEndMarker,
+        done: this.hasEndMarker,
       };
     }
     const complete = pending.slice(0, lastSeparator + EVENT_SEPARATOR.length);
@@ -58,7 +58,7 @@
     return {
       bytes: Buffer.from(complete),
       events,
-      done: this.hasReadEndMarker,
+      done: this.hasEndMarker,
     };
   }
 
@@ -69,29 +69,29 @@
 
   /** Whether the end marker has been read. */
   get isDone(): boolean {
-    return this.hasReadEndMarker;
+    return this.hasEndMarker;
   }
 
   private parseLine(line: string): EngineEvent | undefined {
-    if (this.hasReadEndMarker) throw new Error("event after the end marker");
+    if (this.hasEndMarker) throw new Error("an event follows the end marker");
     if (line === DONE_LINE) {
-      this.hasReadEndMarker = true;
+      this.hasEndMarker = true;
       return undefined;
     }
     if (!line.startsWith(DATA_PREFIX)) {
-      throw new Error("stream line is not a data event");
+      throw new Error("a line is not an event");
     }
     const event = engineEventSchema.parse(
       JSON.parse(line.slice(DATA_PREFIX.length)),
     );
     if (event.id !== this.requestId) {
       throw new Error(
-        `event of request ${event.id} in the response to ${this.requestId}`,
+        `an event of ${event.id} in the answer to ${this.requestId}`,
       );
     }
     if (event.index !== this.nextIndex) {
       throw new Error(
-        `event index ${event.index} received, ${this.nextIndex} expected`,
+        `event ${event.index} where ${this.nextIndex} is due`,
       );
     }
     this.nextIndex += 1;
--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -144,7 +144,7 @@
     if (response.statusCode !== 200) throw await this.refused(response);
     if (response.headers["x-request-id"] !== work.requestId) {
       response.body.destroy();
-      throw UpstreamError.create("unknown", "response has another request id");
+      throw UpstreamError.create("unknown", "the answer names another request");
     }
     const parser = EventStreamParser.create(work.requestId, work.resumeFrom);
     response.body.setEncoding("utf8");
@@ -155,7 +155,7 @@
     if (!parser.isDone) {
       throw UpstreamError.create(
         "unknown",
-        "event stream ended before its end marker",
+        "the stream ended before its end marker",
       );
     }
   }
@@ -190,7 +190,7 @@
     if (!availability.takesRequests(readClock())) {
       throw UpstreamError.create(
         "no",
-        "upstream accepts no requests at present",
+        "the upstream takes no requests",
       );
     }
     const isTrial = availability.beginRequest();
@@ -253,12 +253,12 @@
   ): Promise<ServiceResponse> {
     const body = Buffer.from(await response.body.arrayBuffer());
     if (response.headers["x-request-id"] !== requestId) {
-      throw UpstreamError.create("unknown", "response has another request id");
+      throw UpstreamError.create("unknown", "the answer names another request");
     }
     if (body.length > MAX_RESPONSE_BYTES) {
       throw UpstreamError.create(
         "unknown",
-        "response body exceeds the limit of 4 MiB",
+        "the answer exceeds the limit",
       );
     }
     const contentType = String(
@@ -278,7 +278,7 @@
     const ran = response.headers["x-not-run"] === "true" ? "no" : "unknown";
     return UpstreamError.create(
       ran,
-      `upstream responded with status ${response.statusCode}`,
+      `the upstream answered ${response.statusCode}`,
     );
   }
 }
@@ -286,5 +286,5 @@
 /** Discards a response that nobody waits for any more; returns the error to throw instead. */
 function discardResponse(response: Dispatcher.ResponseData): UpstreamError {
   response.body.destroy();
-  return UpstreamError.create("unknown", "request was aborted");
+  return UpstreamError.create("unknown", "the request was aborted");
 }
