--- a/src/owner/work_on.ts
+++ b/src/owner/execute_job.ts
@@ -2,13 +2,13 @@
 import { UpstreamError } from "../upstream/upstream_error.ts";
 import type { Job } from "./job.ts";
 import type { OwnedUpstream } from "./owned_upstream.ts";
-import { JOB_RUNNERS } from "./run_job.ts";
+import { JOB_RUNNERS } from "./job_runners.ts";
 
-/** Does a job's work and tells the entry how it ended; never throws.
+/** Runs a job and reports its result or failure to the entry router; never throws.
  * @param upstream The upstream.
  * @param job The job.
- * @param logger Where failures are written. */
-export async function workOn(
+ * @param logger Logger for failures. */
+export async function executeJob(
   upstream: OwnedUpstream,
   job: Job,
   logger: Logger,
@@ -30,7 +30,8 @@
   }
 }
 
-/** Tells an engine to stop working on a chat; services are not told, for their work may not be cut.
+/** Asks an engine to stop working on a chat. Calls to services are not cancelled, because their work must not be
+ * interrupted.
  * @param upstream The upstream.
  * @param job The job. */
 export function cancelOnEngine(upstream: OwnedUpstream, job: Job): void {
--- a/src/owner/foreign_load.ts
+++ b/src/owner/foreign_load.ts
@@ -1,108 +1,114 @@
-import { getMostUntold } from "./told_loads.ts";
+import { getMaximumUnadvertised } from "./told_loads.ts";
 
-/** Time over which the own load is remembered: the lag of reports and their interval. */
-const WINDOW_MS = 2_000;
+/** Time for which samples of the own load are kept: covers the delay of reports and the interval between them. */
+const OWN_LOAD_WINDOW_MS = 2_000;
 
+/** The own load from a point in time until the next sample. */
 interface Sample {
   at: number;
   own: number;
 }
 
-/** Time after a takeover in which reports may show requests of the former owner. */
-const TAKEOVER_MS = 3_000;
-/** Time after a takeover, or a pause of this process, in which reports may still lack requests of the other owner, in
- * milliseconds: until that one hears this router, and three times the usual lag of a report. */
-export const REPORTS_LACK_MS = 1_000;
+/** Time after a takeover during which reports may still include requests of the former owner. */
+const TAKEOVER_WINDOW_MS = 3_000;
+/** Time after a takeover, or after a pause of this process, during which reports may still omit requests of the other
+ * owner: the time until that owner hears from this router, plus three times the usual delay of a report. */
+export const REPORT_CATCH_UP_MS = 1_000;
 
-/** Works out what an upstream carries for other routers, from its lagging report.
- * What the report shows beyond the most that this router had running during the lag is foreign.
- * After a takeover the own requests are too new to be in the report, but for those taken over with the upstream;
- * only these are subtracted then. */
-export class ForeignLoad {
+/** Estimates the foreign load of an upstream, which is the number of requests that other routers have in flight there.
+ * Reports of the upstream are delayed, so the estimate is the reported load minus the highest own load during the
+ * delay. After a takeover, own requests are too recent to appear in a report, except those resumed from the former
+ * owner; only these are subtracted then. */
+export class ForeignLoadEstimator {
   private samples: Sample[] = [];
   private foreign = 0;
-  private leastForeign = 0;
+  private minimumForeign = 0;
   private takeoverEndsAt = -1;
-  private reportsLackUntil = -1;
-  /** Requests that the former owner may have left running, but for those that were taken over since. */
-  private leftBehind = 0;
+  private reportsIncompleteUntil = -1;
+  /** Requests that the former owner may have left running, minus those that were resumed here since. */
+  private formerOwnerLoad = 0;
 
   private constructor() {}
 
-  /** Creates one without a report. */
-  static create(): ForeignLoad {
-    return new ForeignLoad();
+  /** Creates an estimator that has received no report. */
+  static create(): ForeignLoadEstimator {
+    return new ForeignLoadEstimator();
   }
 
-  /** Records the own load after each change.
-   * @param own Requests this router has running.
-   * @param now Monotonic milliseconds. */
-  recordOwn(own: number, now: number): void {
+  /** Records the own load; to be called after each change.
+   * @param own Requests that this router has running.
+   * @param now Monotonic time in milliseconds. */
+  recordOwnLoad(own: number, now: number): void {
     const last = this.samples.at(-1);
     if (last && last.at === now) last.own = Math.max(last.own, own);
     else this.samples.push({ at: now, own });
   }
 
-  /** Takes a report.
-   * @param inFlight Requests the upstream says it carries.
-   * @param resumed Own requests that a former owner had sent.
-   * @param now Monotonic milliseconds. */
+  /** Updates the estimate from a report of the upstream.
+   * @param inFlight Requests in flight according to the upstream.
+   * @param resumed Running requests of this router that resume requests sent by a former owner.
+   * @param now Monotonic time in milliseconds. */
   recordReport(inFlight: number, resumed: number, now: number): void {
-    this.samples = dropOld(this.samples, now - WINDOW_MS);
-    const most = this.samples.reduce(
+    this.samples = dropSamplesBefore(this.samples, now - OWN_LOAD_WINDOW_MS);
+    const maximumOwn = this.samples.reduce(
       (maximum, sample) => Math.max(maximum, sample.own),
       0,
     );
-    this.leastForeign = Math.max(0, inFlight - most);
+    this.minimumForeign = Math.max(0, inFlight - maximumOwn);
     this.foreign = now < this.takeoverEndsAt
       ? Math.max(0, inFlight - resumed)
-      : this.leastForeign;
-    if (now < this.reportsLackUntil) {
-      this.foreign = Math.max(this.foreign, this.leftBehind);
+      : this.minimumForeign;
+    if (now < this.reportsIncompleteUntil) {
+      this.foreign = Math.max(this.foreign, this.formerOwnerLoad);
     }
   }
 
-  /** Begins a takeover: what the former owner last told, and what it may have started since, is foreign until reports
-   * can't lack it any more. Where it told of none it has at most one, for which the bound keeps a place; to hold back more
-   * would leave idle upstreams unused for a second after each change of owner.
-   * @param told Load that the former owner last told.
-   * @param now Monotonic milliseconds. */
-  takeOver(told: number, now: number): void {
-    if (told <= 0) return;
-    this.takeoverEndsAt = now + TAKEOVER_MS;
-    this.reportsLackUntil = now + REPORTS_LACK_MS;
-    this.leftBehind = told + getMostUntold(told);
-    this.foreign = Math.max(this.foreign, this.leftBehind);
+  /** Begins a takeover. The load that the former owner last advertised, plus what it may have started since, counts as
+   * foreign until reports are certain to include it. A former owner that advertised no load has at most one request in
+   * flight, which the slot reserved by the bound covers; holding back more would leave idle upstreams unused for a
+   * second after each change of owner.
+   * @param advertisedLoad Load that the former owner last advertised.
+   * @param now Monotonic time in milliseconds. */
+  beginTakeover(advertisedLoad: number, now: number): void {
+    if (advertisedLoad <= 0) return;
+    this.takeoverEndsAt = now + TAKEOVER_WINDOW_MS;
+    this.reportsIncompleteUntil = now + REPORT_CATCH_UP_MS;
+    this.formerOwnerLoad = advertisedLoad +
+      getMaximumUnadvertised(advertisedLoad);
+    this.foreign = Math.max(this.foreign, this.formerOwnerLoad);
   }
 
-  /** Begins anew after a pause of this process, in which another router may have owned the upstream: all that reports
-   * show is foreign for a while, for the own load from before the pause may explain none of it.
-   * @param now Monotonic milliseconds. */
-  startAfterPause(now: number): void {
-    this.takeoverEndsAt = now + TAKEOVER_MS;
+  /** Handles a pause of this process, during which another router may have owned the upstream. Until the takeover
+   * window ends, all load in reports except resumed requests counts as foreign, since the own load from before the
+   * pause may account for none of it.
+   * @param now Monotonic time in milliseconds. */
+  handlePause(now: number): void {
+    this.takeoverEndsAt = now + TAKEOVER_WINDOW_MS;
   }
 
-  /** Counts one foreign request as own from now on. */
-  resumeOne(): void {
+  /** Counts one foreign request as an own request from now on. */
+  recordResumed(): void {
     this.foreign = Math.max(0, this.foreign - 1);
-    this.leastForeign = Math.max(0, this.leastForeign - 1);
-    this.leftBehind = Math.max(0, this.leftBehind - 1);
+    this.minimumForeign = Math.max(0, this.minimumForeign - 1);
+    this.formerOwnerLoad = Math.max(0, this.formerOwnerLoad - 1);
   }
 
-  /** Requests that other routers have running at least; the mean is made of these, for it must not be too high. */
-  get leastLoad(): number {
-    return this.leastForeign;
+  /** Lower bound of the foreign load. Means are computed from it, because a mean that is too high would loosen the
+   * bound. */
+  get minimumLoad(): number {
+    return this.minimumForeign;
   }
 
-  /** Requests that other routers are taken to have running. */
+  /** Estimated foreign load. */
   get load(): number {
     return this.foreign;
   }
 }
 
-/** Drops samples that ended before a time; the last one before it still held at that time and stays. */
-function dropOld(samples: Sample[], since: number): Sample[] {
-  const firstInside = samples.findIndex((sample) => sample.at >= since);
-  if (firstInside < 0) return samples.slice(-1);
-  return samples.slice(Math.max(0, firstInside - 1));
+/** Drops samples that were superseded before a time. The last sample before that time is kept, as it was still valid
+ * then. */
+function dropSamplesBefore(samples: Sample[], since: number): Sample[] {
+  const firstRecent = samples.findIndex((sample) => sample.at >= since);
+  if (firstRecent < 0) return samples.slice(-1);
+  return samples.slice(Math.max(0, firstRecent - 1));
 }
--- a/src/owner/heard_share.ts
+++ b/src/owner/heard_share.ts
@@ -1,32 +1,34 @@
-/** Time for which a greater share is awaited: requests that others started in their part must end first. */
-const GROWTH_DELAY_MS = 3_000;
+/** Time for which an increase must last before it takes effect: requests that other routers started within their part
+ * of the capacity must end first. */
+const INCREASE_DELAY_MS = 3_000;
 
-/** The part of the routers that counts as heard for the bound: it shrinks at once and grows late. */
-export class HeardShare {
-  private used = 1;
-  private greaterSince: number | undefined;
+/** The fraction of routers that the load bound assumes to be reachable. Decreases take effect at once, increases after
+ * a delay. */
+export class ReachableShare {
+  private effective = 1;
+  private increaseSince: number | undefined;
 
   private constructor() {}
 
-  /** Creates one for a router that hears all. */
-  static create(): HeardShare {
-    return new HeardShare();
+  /** Creates an instance for a router that reaches all others. */
+  static create(): ReachableShare {
+    return new ReachableShare();
   }
 
-  /** Returns the part that counts now.
-   * @param heard Part of the listed routers heard now.
-   * @param now Monotonic milliseconds. */
-  get(heard: number, now: number): number {
-    if (heard <= this.used) {
-      this.used = heard;
-      this.greaterSince = undefined;
-      return this.used;
+  /** Records the observed fraction and returns the one in effect.
+   * @param observed Fraction of the listed routers that are reachable now.
+   * @param now Monotonic time in milliseconds. */
+  update(observed: number, now: number): number {
+    if (observed <= this.effective) {
+      this.effective = observed;
+      this.increaseSince = undefined;
+      return this.effective;
     }
-    this.greaterSince ??= now;
-    if (now - this.greaterSince >= GROWTH_DELAY_MS) {
-      this.used = heard;
-      this.greaterSince = undefined;
+    this.increaseSince ??= now;
+    if (now - this.increaseSince >= INCREASE_DELAY_MS) {
+      this.effective = observed;
+      this.increaseSince = undefined;
     }
-    return this.used;
+    return this.effective;
   }
 }
--- a/src/owner/job.ts
+++ b/src/owner/job.ts
@@ -1,40 +1,39 @@
 import { v4 as createUuid } from "uuid";
 import type { FramePort } from "../peer/frame_port.ts";
 import type { Frame, FrameOf } from "../peer/frame_schema.ts";
-import type { ShareholderStructure } from "./fair_queue.ts";
+import type { QueueItem } from "./fair_queue.ts";
 
-/** What a job is doing. */
-export type JobState = "waiting" | "claiming" | "running" | "over";
+/** State of a job; `claiming` waits for the entry router's permission to send a request that must not run twice. */
+export type JobState = "waiting" | "claiming" | "running" | "finished";
 
-/** One offered request at the owner of its upstream. */
-export class Job implements ShareholderStructure {
-  /** What the job is doing. */
+/** A request that was offered to the owner of its upstream. */
+export class Job implements QueueItem {
   state: JobState = "waiting";
   /** Whether this router owned the upstream when the request was offered. */
-  isForOwner = true;
-  /** Bytes sent to the entry that the caller has not taken. */
-  private outstandingBytes = 0;
-  private resumeWaiting: (() => void) | undefined;
+  wasOwnedWhenOffered = true;
+  /** Bytes sent to the entry router that the caller has not consumed yet. */
+  private unacknowledgedBytes = 0;
+  private resumeSender: (() => void) | undefined;
   private readonly attemptId = createUuid();
   private readonly abortController = new AbortController();
 
   private constructor(
-    /** Connection to the entry. */
+    /** Connection to the entry router, which received the request from its caller. */
     readonly port: FramePort,
-    /** The request. */
+    /** The request as offered. */
     readonly offer: FrameOf<"offer">,
-    /** Monotonic milliseconds at which the request was offered. */
+    /** Monotonic time in milliseconds at which the request was offered. */
     readonly offeredAt: number,
-    /** Monotonic milliseconds at which nobody waits any more. */
+    /** Monotonic time in milliseconds of the caller's deadline. */
     readonly deadlineAt: number,
     private readonly windowBytes: number,
   ) {}
 
   /** Creates a job.
-   * @param port Connection to the entry.
+   * @param port Connection to the entry router.
    * @param offer The request.
-   * @param now Monotonic milliseconds.
-   * @param windowBytes Bytes that may be under way to the caller. */
+   * @param now Monotonic time in milliseconds.
+   * @param windowBytes Flow-control window: bytes that may be in flight to the caller. */
   static create(
     port: FramePort,
     offer: FrameOf<"offer">,
@@ -44,7 +43,7 @@
     return new Job(port, offer, now, now + offer.remainingMs, windowBytes);
   }
 
-  /** Names this job among all that were offered for the request, so that only its own work is cancelled. */
+  /** Id that distinguishes this job from other offers of the same request, so that only its own work is cancelled. */
   get attempt(): string {
     return this.attemptId;
   }
@@ -65,43 +64,43 @@
     return this.offer.capacityShare;
   }
 
-  /** Aborted when the entry wants no more. */
+  /** Aborted when the work of the job must stop. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
 
-  /** Sends a frame of this exchange to the entry.
-   * @param frame The frame without its exchange. */
+  /** Sends a frame of this exchange to the entry router.
+   * @param frame The frame without its exchange number. */
   send(frame: DistributiveOmit<Frame, "exchange">): void {
     this.port.send({ ...frame, exchange: this.offer.exchange } as Frame);
   }
 
-  /** Records bytes sent and waits while too many are under way.
-   * @param bytes Bytes sent. */
-  async spend(bytes: number): Promise<void> {
-    this.outstandingBytes += bytes;
-    if (this.outstandingBytes <= this.windowBytes || this.signal.aborted) {
+  /** Records sent bytes and waits until the flow-control window has room again.
+   * @param bytes Number of bytes sent. */
+  async consumeWindow(bytes: number): Promise<void> {
+    this.unacknowledgedBytes += bytes;
+    if (this.unacknowledgedBytes <= this.windowBytes || this.signal.aborted) {
       return;
     }
-    await new Promise<void>((resolve) => this.resumeWaiting = resolve);
+    await new Promise<void>((resolve) => this.resumeSender = resolve);
   }
 
-  /** Records bytes that the caller has taken.
-   * @param bytes Bytes taken. */
+  /** Records bytes that the caller has consumed.
+   * @param bytes Number of bytes consumed. */
   credit(bytes: number): void {
-    this.outstandingBytes -= bytes;
-    if (this.outstandingBytes <= this.windowBytes) this.wake();
+    this.unacknowledgedBytes -= bytes;
+    if (this.unacknowledgedBytes <= this.windowBytes) this.unblockSender();
   }
 
-  /** Stops the job's work. */
+  /** Aborts the work of the job and unblocks a sender that waits for the window. */
   abort(): void {
     this.abortController.abort();
-    this.wake();
+    this.unblockSender();
   }
 
-  private wake(): void {
-    this.resumeWaiting?.();
-    this.resumeWaiting = undefined;
+  private unblockSender(): void {
+    this.resumeSender?.();
+    this.resumeSender = undefined;
   }
 }
 
--- a/src/owner/run_job.ts
+++ b/src/owner/job_runners.ts
@@ -4,20 +4,20 @@
 } from "../upstream/upstream_client.ts";
 import type { Job } from "./job.ts";
 
-/** How a job's work ended. */
+/** Size of the answer that a job sent, for the entry router to compare with what it received. */
 export interface JobResult {
   chunks: number;
   bytes: number;
 }
 
-/** Does the work of a job on an upstream and sends the answer to the entry, part by part.
- * Throws where the upstream fails. */
+/** Sends the request of a job to an upstream and streams the answer to the entry router.
+ * Throws if the upstream fails. */
 export type JobRunner = (
   job: Job,
   client: UpstreamClient,
 ) => Promise<JobResult>;
 
-/** One runner for each kind of work. */
+/** Job runners by kind of work. */
 export const JOB_RUNNERS: Readonly<Record<"chat" | "call", JobRunner>> = {
   chat: runChat,
   call: runCall,
@@ -25,14 +25,14 @@
 
 async function runChat(job: Job, client: UpstreamClient): Promise<JobResult> {
   const result = { chunks: 0, bytes: 0 };
-  for await (const part of client.streamChat(toRequest(job))) {
+  for await (const part of client.streamChat(toUpstreamRequest(job))) {
     await sendChunk(job, result, part.bytes, part.events.length);
   }
   return result;
 }
 
 async function runCall(job: Job, client: UpstreamClient): Promise<JobResult> {
-  const answer = await client.call(toRequest(job));
+  const answer = await client.call(toUpstreamRequest(job));
   const result = { chunks: 0, bytes: 0 };
   job.send({ type: "head", status: answer.status, headers: answer.headers });
   await sendChunk(job, result, answer.body, 1);
@@ -48,10 +48,10 @@
   job.send({ type: "chunk", sequence: result.chunks, events, bytes });
   result.chunks += 1;
   result.bytes += bytes.length;
-  await job.spend(bytes.length);
+  await job.consumeWindow(bytes.length);
 }
 
-function toRequest(job: Job): UpstreamRequest {
+function toUpstreamRequest(job: Job): UpstreamRequest {
   const {
     requestId,
     method,
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -13,63 +13,63 @@
 import { Job } from "./job.ts";
 import { JobTable } from "./job_table.ts";
 import type { OwnedUpstream } from "./owned_upstream.ts";
-import { ToldLoads } from "./told_loads.ts";
+import { AdvertisedLoads } from "./told_loads.ts";
 import type { UpstreamRegistry } from "./upstream_registry.ts";
 
-/** Time an entry has to answer a claim. */
+/** Time within which an entry router must answer a claim. */
 const CLAIM_TIMEOUT_MS = 2_000;
 
-/** Answers an entry may give on an exchange under way. */
+/** Frames that an entry router may send on an open exchange. */
 export type ReplyFrame =
   | FrameOf<"grant">
   | FrameOf<"withhold">
   | FrameOf<"cancel">;
 
-/** What the scheduler needs of the owner. */
+/** Dependencies of the scheduler. */
 export interface JobSchedulerOptions {
   registry: UpstreamRegistry;
   guard: Pick<PauseGuard, "isFresh">;
   logger: Logger;
   timeline: Timeline;
   streamWindowBytes: number;
-  /** Sends a job's request to its upstream; `finish` is to be called when that has ended. */
+  /** Sends the request of a job to its upstream; `finish` must be called when it has ended. */
   run: (upstream: OwnedUpstream, job: Job) => void;
-  /** Stops the work of a job that is running. */
+  /** Cancels a running job. */
   cancel: (upstream: OwnedUpstream, job: Job) => void;
-  /** Called when the own load grew so much that peers should know at once. */
+  /** Called when the load of an upstream has grown so much that it must be advertised to peers at once. */
   onLoadGrew: () => void;
 }
 
-/** Decides which offered requests start, wait or are declined. */
+/** Decides which offered requests are started, queued or declined. */
 export class JobScheduler {
   private readonly jobs = JobTable.create();
-  private readonly toldLoads = ToldLoads.create();
+  private readonly advertisedLoads = AdvertisedLoads.create();
   private isStopping = false;
 
   private constructor(private readonly options: JobSchedulerOptions) {}
 
   /** Creates a scheduler without jobs.
-   * @param options What it needs. */
+   * @param options Dependencies. */
   static create(options: JobSchedulerOptions): JobScheduler {
     return new JobScheduler(options);
   }
 
-  /** Returns a job that is not over, or nothing.
-   * @param port Connection to the entry.
+  /** Returns an unfinished job, or undefined if there is none.
+   * @param port Connection to the entry router.
    * @param exchange Number of the exchange. */
   getJob(port: FramePort, exchange: number): Job | undefined {
     return this.jobs.getEntry(port, exchange)?.job;
   }
 
-  /** Declines all further offers; what was taken goes on. */
+  /** Declines all further offers; accepted jobs continue. */
   stopAccepting(): void {
     this.isStopping = true;
   }
 
-  /** Takes an offer from an entry; the answer goes to the port.
-   * @param port Connection to the entry.
+  /** Handles an offer from an entry router and answers on the same connection.
+   * @param port Connection to the entry router.
    * @param frame The offer. */
-  takeOffer(port: FramePort, frame: FrameOf<"offer">): void {
+  handleOffer(port: FramePort, frame: FrameOf<"offer">): void {
     const job = Job.create(
       port,
       frame,
@@ -87,14 +87,14 @@
     if (!upstream?.takesWork) {
       return job.send({ type: "declined", ...describeDecline(upstream) });
     }
-    job.isForOwner = upstream.isOwned;
+    job.wasOwnedWhenOffered = upstream.isOwned;
     const mayStart = upstream.queue.length === 0 &&
       this.options.guard.isFresh() &&
       this.options.registry.hasRoom(upstream);
-    if (mayStart || this.isTakenOver(upstream, frame)) {
+    if (mayStart || this.isAlreadyRunning(upstream, frame)) {
       this.jobs.add({ upstream, job });
       job.send({ type: "accepted", queued: false });
-      return this.begin(upstream, job);
+      return this.start(upstream, job);
     }
     const refusal = frame.mayQueue ? upstream.queue.push(job) : "full";
     if (refusal) {
@@ -104,20 +104,21 @@
     job.send({ type: "accepted", queued: true });
   }
 
-  /** Whether an offer is for a request that the upstream, by its own report, still carries for a lost owner; it takes no further
-   * room. What that owner may have left running is no proof: it may have ended since. */
-  private isTakenOver(
+  /** Returns whether an offer resumes a request that, according to the upstream's own report, is still running for a
+   * failed owner, so that it needs no additional slot. The estimate of what that owner left running is not sufficient
+   * evidence, since those requests may have ended meanwhile. */
+  private isAlreadyRunning(
     upstream: OwnedUpstream,
     frame: FrameOf<"offer">,
   ): boolean {
-    return frame.resumes && upstream.foreign.leastLoad > 0 &&
+    return frame.resumes && upstream.foreign.minimumLoad > 0 &&
       this.options.guard.isFresh();
   }
 
-  private begin(upstream: OwnedUpstream, job: Job): void {
-    upstream.add(job, this.now);
+  private start(upstream: OwnedUpstream, job: Job): void {
+    upstream.addRunning(job, this.now);
     this.logStart(upstream, job);
-    this.noteGrowth();
+    this.advertiseGrowth();
     if (job.offer.repeatable) return this.run(upstream, job);
     job.state = "claiming";
     job.send({ type: "claim" });
@@ -149,22 +150,23 @@
     this.options.run(upstream, job);
   }
 
-  /** Takes an entry's reply.
-   * @param port Connection to the entry.
+  /** Handles a reply of an entry router.
+   * @param port Connection to the entry router.
    * @param frame The reply. */
-  takeReply(port: FramePort, frame: ReplyFrame): void {
+  handleReply(port: FramePort, frame: ReplyFrame): void {
     const entry = this.jobs.getEntry(port, frame.exchange);
     if (!entry) return;
     const { upstream, job } = entry;
     if (frame.type === "grant") {
-      if (job.state === "claiming") this.useGrant(upstream, job);
+      if (job.state === "claiming") this.handleGrant(upstream, job);
       return;
     }
     this.stopJob(upstream, job);
   }
 
-  /** Sends the request unless this process was paused since the entry granted it. */
-  private useGrant(upstream: OwnedUpstream, job: Job): void {
+  /** Sends a granted request, unless this process was paused, so that the grant may be outdated, or the upstream
+   * accepts no new work any more. */
+  private handleGrant(upstream: OwnedUpstream, job: Job): void {
     const reason = this.options.guard.isFresh()
       ? undefined
       : "the router was paused";
@@ -196,19 +198,19 @@
     this.finish(upstream, job);
   }
 
-  /** Ends a job and starts others in its place.
+  /** Finishes a job and starts queued jobs in its place.
    * @param upstream The upstream.
    * @param job The job. */
   finish(upstream: OwnedUpstream, job: Job): void {
-    if (job.state === "over") return;
-    job.state = "over";
-    upstream.delete(job, this.now);
+    if (job.state === "finished") return;
+    job.state = "finished";
+    upstream.removeRunning(job, this.now);
     this.jobs.delete(job);
-    this.pump(upstream);
+    this.startQueued(upstream);
   }
 
-  /** Starts waiting requests while there is room, and drops those nobody waits for. */
-  private pump(upstream: OwnedUpstream): void {
+  /** Starts queued jobs while the upstream has room, and declines those that may not stay queued. */
+  private startQueued(upstream: OwnedUpstream): void {
     while (upstream.queue.length > 0) {
       const mayStart = this.options.registry.hasRoom(upstream) &&
         this.options.guard.isFresh();
@@ -218,7 +220,7 @@
       if (!job) return;
       const decline = this.findDecline(upstream, job);
       if (decline) this.decline(upstream, job, decline);
-      else this.begin(upstream, job);
+      else this.start(upstream, job);
     }
   }
 
@@ -232,15 +234,15 @@
     this.finish(upstream, job);
   }
 
-  /** Drops the work of an entry whose connection ended.
+  /** Stops the jobs of an entry router whose connection has closed.
    * @param port The connection. */
-  dropPort(port: FramePort): void {
+  handlePortClosed(port: FramePort): void {
     for (const { upstream, job } of this.jobs.getEntries(port)) {
       this.stopJob(upstream, job);
     }
   }
 
-  /** Takes over upstreams, declines what may wait no longer and starts what has room. */
+  /** Refreshes the ownership of upstreams, declines jobs that may not stay queued and starts those that have room. */
   sweep(): void {
     this.options.registry.refresh();
     for (const upstream of this.options.registry.getAll()) {
@@ -248,27 +250,27 @@
         const decline = this.findDecline(upstream, job);
         if (decline) this.decline(upstream, job, decline);
       }
-      this.pump(upstream);
+      this.startQueued(upstream);
     }
   }
 
-  /** Takes a report of an upstream.
+  /** Handles a report of an upstream.
    * @param upstream The upstream.
-   * @param report The report, or nothing where it could not be read. */
-  takeReport(
+   * @param report The report, or undefined if it could not be read. */
+  handleReport(
     upstream: OwnedUpstream,
     report: UpstreamReport | undefined,
   ): void {
-    upstream.takeReport(report, this.now);
-    this.pump(upstream);
+    upstream.recordReport(report, this.now);
+    this.startQueued(upstream);
   }
 
-  private noteGrowth(): void {
+  private advertiseGrowth(): void {
     const loads = this.options.registry.getAll().map(({ host, load }) => ({
       upstreamId: host.id,
       load,
     }));
-    if (this.toldLoads.note(loads)) this.options.onLoadGrew();
+    if (this.advertisedLoads.update(loads)) this.options.onLoadGrew();
   }
 
   private findDecline(upstream: OwnedUpstream, job: Job): Decline | undefined {
--- a/src/owner/job_table.ts
+++ b/src/owner/job_table.ts
@@ -2,13 +2,13 @@
 import type { Job } from "./job.ts";
 import type { OwnedUpstream } from "./owned_upstream.ts";
 
-/** A job with the upstream it is for. */
+/** A job and its upstream. */
 export interface JobEntry {
   upstream: OwnedUpstream;
   job: Job;
 }
 
-/** The jobs that are not over, by the connection they came over and their exchange. */
+/** Unfinished jobs, indexed by connection and exchange number. */
 export class JobTable {
   private readonly jobs = new Map<FramePort, Map<number, JobEntry>>();
 
@@ -19,28 +19,28 @@
     return new JobTable();
   }
 
-  /** Returns a job, or nothing where it is over.
-   * @param port Connection to the entry.
+  /** Returns an unfinished job, or undefined if there is none.
+   * @param port Connection to the entry router.
    * @param exchange Number of the exchange. */
   getEntry(port: FramePort, exchange: number): JobEntry | undefined {
     return this.jobs.get(port)?.get(exchange);
   }
 
-  /** The jobs that came over one connection.
-   * @param port Connection to the entry. */
+  /** Returns the unfinished jobs of a connection.
+   * @param port Connection to the entry router. */
   getEntries(port: FramePort): JobEntry[] {
     return [...this.jobs.get(port)?.values() ?? []];
   }
 
   /** Adds a job.
-   * @param entry The job with its upstream. */
+   * @param entry The job and its upstream. */
   add(entry: JobEntry): void {
     const { port, offer } = entry.job;
     const jobs = this.jobs.get(port) ?? new Map<number, JobEntry>();
     this.jobs.set(port, jobs.set(offer.exchange, entry));
   }
 
-  /** Removes a job that is over.
+  /** Removes a finished job.
    * @param job The job. */
   delete(job: Job): void {
     const jobs = this.jobs.get(job.port);
--- a/src/owner/load_book.ts
+++ b/src/owner/load_book.ts
@@ -1,69 +1,70 @@
 import { hashText } from "../hashing/hasher.ts";
 
-/** Age up to which a told load is used for the mean and for choices, in milliseconds. A report may be read late and a
- * request may reach its engine late, on a busy machine by some hundred milliseconds each; with these the mean that was
- * acted on is still no older than the two seconds for which the bound allows it. */
-const FRESH_MS = 1_000;
+/** Maximum age of an advertised load that is used for means and for choosing upstreams. The bound allows a mean to be
+ * up to two seconds old when it takes effect. On a busy machine a report may be read, and a request may reach its
+ * engine, some hundred milliseconds late each; this limit leaves time for both. */
+const MAX_LOAD_AGE_MS = 1_000;
 
-/** Age up to which a told load says what a lost owner may have left running. */
-export const REMEMBERED_MS = 10_000;
+/** Maximum age of an advertised load that is used to estimate what a failed owner may have left running. */
+export const MAX_FORMER_OWNER_LOAD_AGE_MS = 10_000;
 
-/** Upstreams whose loads give a mean; where fewer are known, those of the pool that are not count as idle. */
-const SAMPLE_SIZE = 32;
+/** Number of upstreams whose loads are enough for a mean. If fewer are known, upstreams of the pool with unknown load
+ * count as idle. */
+const MIN_SAMPLE_SIZE = 32;
 
-/** Load number that says an upstream cannot be reached. */
+/** Load value that marks an upstream as unreachable. */
 export const UNREACHABLE_LOAD = -1;
 
-/** Mean loads of a pool. */
+/** Mean loads of a pool of upstreams. */
 export interface PoolMeans {
-  /** Over the upstreams in reach. */
+  /** Mean over the reachable upstreams. */
   reachable: number;
-  /** Over all, of which those out of reach carry nothing. */
+  /** Mean over all upstreams, counting unreachable ones as idle. */
   all: number;
 }
 
 interface Entry {
   load: number;
-  heardAt: number;
+  receivedAt: number;
 }
 
-/** The loads of upstreams, as the routers that own them last told. */
+/** The loads of upstreams as last advertised by the routers that own them. */
 export class LoadBook {
   private readonly entries = new Map<number, Entry>();
 
   private constructor() {}
 
-  /** Creates an empty book. */
+  /** Creates an empty instance. */
   static create(): LoadBook {
     return new LoadBook();
   }
 
-  /** Takes over loads told by a peer.
-   * @param loads Hash of an upstream's id, and its requests in flight.
-   * @param now Monotonic milliseconds. */
+  /** Records advertised loads.
+   * @param loads Pairs of the hash of an upstream's id and its requests in flight.
+   * @param now Monotonic time in milliseconds. */
   record(loads: readonly [number, number][], now: number): void {
     for (const [id, load] of loads) {
-      this.entries.set(id, { load, heardAt: now });
+      this.entries.set(id, { load, receivedAt: now });
     }
   }
 
-  /** Returns an upstream's load, or nothing where none was told lately.
+  /** Returns the load of an upstream, or undefined if none was recorded within the maximum age.
    * @param upstreamId The upstream.
-   * @param now Monotonic milliseconds.
-   * @param maxAgeMs Age up to which it is used. */
+   * @param now Monotonic time in milliseconds.
+   * @param maxAgeMs Maximum age of the load. */
   getLoad(
     upstreamId: string,
     now: number,
-    maxAgeMs = FRESH_MS,
+    maxAgeMs = MAX_LOAD_AGE_MS,
   ): number | undefined {
     const entry = this.entries.get(hashText(upstreamId));
-    return entry && now - entry.heardAt <= maxAgeMs ? entry.load : undefined;
+    return entry && now - entry.receivedAt <= maxAgeMs ? entry.load : undefined;
   }
 
-  /** Mean loads of a pool, over the upstreams whose load is known; in a large pool these are a sample.
-   * Where they are too few for a sample the others count as idle.
-   * @param upstreamIds The pool.
-   * @param now Monotonic milliseconds. */
+  /** Computes the mean loads of a pool over the upstreams whose load is known, which in a large pool are a sample.
+   * If they are too few for a sample, upstreams with unknown load count as idle.
+   * @param upstreamIds Ids of the upstreams of the pool.
+   * @param now Monotonic time in milliseconds. */
   getMeans(upstreamIds: readonly string[], now: number): PoolMeans {
     let sum = 0;
     let known = 0;
@@ -80,7 +81,7 @@
     }
     const count = Math.max(
       known,
-      Math.min(upstreamIds.length - unreachable, SAMPLE_SIZE),
+      Math.min(upstreamIds.length - unreachable, MIN_SAMPLE_SIZE),
     );
     return {
       reachable: sum / Math.max(1, count),
--- a/src/owner/load_bound.ts
+++ b/src/owner/load_bound.ts
@@ -1,65 +1,72 @@
 import type { PoolMeans } from "./load_book.ts";
 
-/** What the bound of one upstream is worked out from. */
-export interface LoadBoundStructure {
-  /** No upstream carries more than this multiple of the mean. */
+/** Inputs from which the load bound of one upstream is computed. */
+export interface LoadBoundInputs {
+  /** Guaranteed maximum load, as a multiple of the mean. */
   boundMultiple: number;
-  /** Requests an upstream may carry however low the mean is. */
+  /** Number of requests that an upstream may carry regardless of the mean. */
   minimumCap: number;
-  /** Requests the upstream takes at once. */
+  /** Number of requests that the upstream processes concurrently. */
   slots: number;
-  /** Mean load of the pool as it is known here. */
+  /** Mean load of the pool, as known to this router. */
   mean: number;
-  /** Part of the listed routers that this one hears; the others are assumed to use the rest. */
-  heardShare: number;
+  /** Fraction of the listed routers that are reachable; unreachable ones are assumed to use the rest of the
+   * capacity. */
+  reachableShare: number;
 }
 
-/** Requests on one upstream. */
-export interface UpstreamLoadStructure {
-  /** Those this router has running. */
+/** Requests in flight on one upstream. */
+export interface UpstreamLoad {
+  /** Requests that this router has running. */
   own: number;
-  /** Those other routers are taken to have running. */
+  /** Estimated requests that other routers have running. */
   foreign: number;
 }
 
-/** Part of the promised multiple that is used; the rest is kept for loads that are known late. */
-const USED_PART = 0.8;
-/** Load that upstreams in reach must be able to carry, as a multiple of what they do. */
-const LEAST_HEADROOM = 1.2;
-/** Requests below the promise that are kept for what another router starts unseen. */
-export const KEPT_PLACES = 1;
+/** Fraction of the guaranteed multiple that the owner uses; the rest is a margin for loads that become known late. */
+const USABLE_FRACTION = 0.8;
+/** Load that the bound must allow for reachable upstreams, as a multiple of their mean load. */
+const MIN_HEADROOM = 1.2;
+/** Slots below the guaranteed bound that are reserved for requests that another router starts without this one
+ * knowing. */
+export const RESERVED_SLOTS = 1;
 
-/** Chooses the mean that bounds a pool: that of all its upstreams, unless those in reach could not carry their load then.
+/** Chooses the mean from which the bound of a pool is computed: the mean over all upstreams, unless the reachable
+ * upstreams could not carry their present load under that bound.
  * @param means Mean loads of the pool.
- * @param boundMultiple Promised multiple of the mean. */
+ * @param boundMultiple Guaranteed multiple of the mean. */
 export function chooseMean(means: PoolMeans, boundMultiple: number): number {
-  const carried = boundMultiple * USED_PART * means.all;
-  return carried >= LEAST_HEADROOM * means.reachable
+  const sustainable = boundMultiple * USABLE_FRACTION * means.all;
+  return sustainable >= MIN_HEADROOM * means.reachable
     ? means.all
     : means.reachable;
 }
 
-/** Works out how many requests an upstream may carry, for its owner: one less than is promised, at the most.
- * @param bound What the bound is worked out from. */
-export function computeCap(bound: LoadBoundStructure): number {
+/** Computes the maximum number of requests that the owner may let an upstream carry: at most one less than the
+ * guaranteed bound, but at least one.
+ * @param bound Inputs of the bound. */
+export function computeCap(bound: LoadBoundInputs): number {
   const { boundMultiple, mean, minimumCap, slots } = bound;
-  const promised = Math.max(minimumCap, Math.ceil(boundMultiple * mean));
-  const used = Math.ceil(boundMultiple * USED_PART * mean);
-  const cap = Math.max(minimumCap - KEPT_PLACES, used);
-  return Math.min(slots, Math.max(1, Math.min(cap, promised - KEPT_PLACES)));
+  const guaranteed = Math.max(minimumCap, Math.ceil(boundMultiple * mean));
+  const usable = Math.ceil(boundMultiple * USABLE_FRACTION * mean);
+  const cap = Math.max(minimumCap - RESERVED_SLOTS, usable);
+  return Math.min(
+    slots,
+    Math.max(1, Math.min(cap, guaranteed - RESERVED_SLOTS)),
+  );
 }
 
-/** Whether this router may start one more request on an upstream.
- * Routers that do not hear each other each use only their part of the cap, so that together they keep to it;
- * an upstream on which nothing runs may always take one.
- * @param bound What the bound is worked out from.
- * @param load What the upstream carries. */
+/** Returns whether this router may start one more request on an upstream.
+ * During a network partition, each side uses only its fraction of the cap, so that all sides together stay within it.
+ * An idle upstream may always take one request.
+ * @param bound Inputs of the bound.
+ * @param load Present load of the upstream. */
 export function hasRoom(
-  bound: LoadBoundStructure,
-  load: UpstreamLoadStructure,
+  bound: LoadBoundInputs,
+  load: UpstreamLoad,
 ): boolean {
   const total = load.own + load.foreign;
   if (total === 0) return true;
   const cap = computeCap(bound);
-  return total < cap && load.own < Math.floor(cap * bound.heardShare);
+  return total < cap && load.own < Math.floor(cap * bound.reachableShare);
 }
--- a/src/owner/owned_upstream.ts
+++ b/src/owner/owned_upstream.ts
@@ -5,47 +5,47 @@
 } from "../upstream/upstream_client.ts";
 import { processTimeline, type Timeline } from "../clock/timeline.ts";
 import { FairQueue } from "./fair_queue.ts";
-import { ForeignLoad, REPORTS_LACK_MS } from "./foreign_load.ts";
+import { ForeignLoadEstimator, REPORT_CATCH_UP_MS } from "./foreign_load.ts";
 import type { Job } from "./job.ts";
 
-/** Reports that may fail in a row before an upstream counts as unreachable. */
-const MISSED_REPORTS = 2;
+/** Number of consecutive failed reports from which an upstream counts as unreachable. */
+const MISSED_REPORT_LIMIT = 2;
 
-/** What the state of an upstream is created with. */
+/** Options of the state of an upstream. */
 export interface OwnedUpstreamOptions {
-  /** Requests that may wait. */
+  /** Maximum number of queued requests. */
   queueLimit: number;
-  /** Silence of the upstream that counts as failure, in milliseconds. */
+  /** Time without data from the upstream after which a request to it fails, in milliseconds. */
   stallTimeoutMs: number;
-  /** The process's by default. */
+  /** Defaults to the timeline of the process. */
   timeline?: Timeline;
 }
 
-/** The state that the owner keeps of one upstream. */
+/** The state that a router keeps of an upstream that it owns or has work on. */
 export class OwnedUpstream {
-  /** Requests that wait. */
+  /** Queued requests. */
   readonly queue: FairQueue<Job>;
-  /** Requests this router has running or is about to send. */
+  /** Requests that this router has running or is about to send. */
   readonly running = new Set<Job>();
-  /** What other routers have running. */
-  readonly foreign = ForeignLoad.create();
-  /** Calls to the upstream. */
+  /** Estimates the requests that other routers have running. */
+  readonly foreign = ForeignLoadEstimator.create();
+  /** Client for requests to the upstream. */
   readonly client: UpstreamClient;
-  /** Whether this router owned it when it last looked. */
+  /** Whether this router owned the upstream when ownership was last refreshed. */
   isOwned = false;
-  /** Monotonic milliseconds since which this router has owned it. */
+  /** Monotonic time in milliseconds at which this router became the owner. */
   ownedSince = -Infinity;
-  /** The last report, where one was read. */
+  /** The last report, if one was read. */
   report: UpstreamReport | undefined;
   private missedReports = 0;
   private pauses = 0;
   private needsReport = false;
-  private reportsLackUntil = -Infinity;
+  private reportsIncompleteUntil = -Infinity;
 
   private readonly timeline: Timeline;
 
   private constructor(
-    /** The upstream as last listed. */
+    /** The upstream's entry in the host list, as last read. */
     public host: Host,
     options: OwnedUpstreamOptions,
   ) {
@@ -56,77 +56,78 @@
 
   /** Creates the state of an upstream.
    * @param host The upstream.
-   * @param options Its limits. */
+   * @param options Limits of the upstream. */
   static create(host: Host, options: OwnedUpstreamOptions): OwnedUpstream {
     return new OwnedUpstream(host, options);
   }
 
-  /** Requests the upstream is taken to carry. */
+  /** Estimated number of requests in flight on the upstream. */
   get load(): number {
     return this.running.size + this.foreign.load;
   }
 
-  /** Requests the upstream carries at least, as peers are told. */
-  get leastLoad(): number {
-    return this.running.size + this.foreign.leastLoad;
+  /** Lower bound of the number of requests in flight on the upstream, as advertised to peers. */
+  get minimumLoad(): number {
+    return this.running.size + this.foreign.minimumLoad;
   }
 
-  /** Whether new work may go to it: listed as live, not leaving by its own word, answering, and not to be left alone. */
+  /** Whether the upstream accepts new work: it is serving and not in a backoff that it asked for. */
   get takesWork(): boolean {
     return this.isServing && this.backoffMs === 0;
   }
 
-  /** Whether new work may go to it once a backoff that it asked for is over. */
+  /** Whether the upstream is listed as live, has not announced that it is leaving, and is reachable. Unlike
+   * `takesWork`, this ignores a backoff that it asked for. */
   get isServing(): boolean {
     return this.host.state === "live" && this.report?.leaving !== true &&
       !this.client.availability.isLeaving && this.isReachable;
   }
 
-  /** Whether it said in its answers that it wants no requests, for a time or as long as this start lasts. */
-  get isLeftAlone(): boolean {
+  /** Whether the upstream asked in its answers for no requests, either for a time or until it is started again. */
+  get refusesRequests(): boolean {
     return !this.client.availability.takesRequests(this.timeline.read());
   }
 
-  /** Time that is left of the backoff that it asked for, in milliseconds, or 0. */
+  /** Remaining time of the backoff that the upstream asked for, in milliseconds, or 0. */
   get backoffMs(): number {
     return this.client.availability.getBackoffMs(this.timeline.read());
   }
 
-  /** Whether it answers reports. */
+  /** Whether the upstream answers requests for its report. */
   get isReachable(): boolean {
-    return this.missedReports < MISSED_REPORTS;
+    return this.missedReports < MISSED_REPORT_LIMIT;
   }
 
-  /** Whether what is known of its load is from before a pause of this process. */
+  /** Whether the known load dates from before a pause of this process. */
   get isLoadUnknown(): boolean {
     return this.needsReport;
   }
 
-  /** Pauses of this process so far; a report that was asked for before the last of them says nothing of now. */
+  /** Number of pauses of this process so far. A report that was requested before the last pause is out of date. */
   get pauseCount(): number {
     return this.pauses;
   }
 
-  /** Notes that this process was paused: another router may own the upstream by now and have started requests there.
-   * @param now Monotonic milliseconds. */
-  notePause(now: number): void {
+  /** Handles a pause of this process: another router may have become the owner meanwhile and have started requests.
+   * @param now Monotonic time in milliseconds. */
+  handlePause(now: number): void {
     this.pauses += 1;
     this.needsReport = true;
-    this.reportsLackUntil = now + REPORTS_LACK_MS;
+    this.reportsIncompleteUntil = now + REPORT_CATCH_UP_MS;
     this.isOwned = false;
-    this.foreign.startAfterPause(now);
+    this.foreign.handlePause(now);
   }
 
-  /** Takes a report.
-   * @param report The report, or nothing where it could not be read.
-   * @param now Monotonic milliseconds. */
-  takeReport(report: UpstreamReport | undefined, now: number): void {
+  /** Records a report of the upstream.
+   * @param report The report, or undefined if it could not be read.
+   * @param now Monotonic time in milliseconds. */
+  recordReport(report: UpstreamReport | undefined, now: number): void {
     if (!report) {
       this.missedReports += 1;
       return;
     }
     this.missedReports = 0;
-    if (now >= this.reportsLackUntil) this.needsReport = false;
+    if (now >= this.reportsIncompleteUntil) this.needsReport = false;
     this.report = report;
     const resumed = [...this.running].filter((job) => job.offer.resumes).length;
     this.foreign.recordReport(report.inFlight, resumed, now);
@@ -134,20 +135,20 @@
 
   /** Counts a job as running.
    * @param job The job.
-   * @param now Monotonic milliseconds. */
-  add(job: Job, now: number): void {
+   * @param now Monotonic time in milliseconds. */
+  addRunning(job: Job, now: number): void {
     this.running.add(job);
-    if (job.offer.resumes) this.foreign.resumeOne();
-    this.queue.started(job);
-    this.foreign.recordOwn(this.running.size, now);
+    if (job.offer.resumes) this.foreign.recordResumed();
+    this.queue.markStarted(job);
+    this.foreign.recordOwnLoad(this.running.size, now);
   }
 
-  /** Counts a job as ended.
+  /** Counts a job as no longer running.
    * @param job The job.
-   * @param now Monotonic milliseconds. */
-  delete(job: Job, now: number): void {
+   * @param now Monotonic time in milliseconds. */
+  removeRunning(job: Job, now: number): void {
     if (!this.running.delete(job)) return;
-    this.queue.ended(job);
-    this.foreign.recordOwn(this.running.size, now);
+    this.queue.markEnded(job);
+    this.foreign.recordOwnLoad(this.running.size, now);
   }
 }
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -9,9 +9,9 @@
 import type { OwnedUpstream } from "./owned_upstream.ts";
 import { UpstreamRegistry } from "./upstream_registry.ts";
 import type { UpstreamStatus } from "./upstream_status.ts";
-import { cancelOnEngine, workOn } from "./work_on.ts";
+import { cancelOnEngine, executeJob } from "./execute_job.ts";
 
-/** Time after which an upstream that is neither owned nor used is forgotten. */
+/** Interval at which ownership is refreshed, queued requests are checked and unused upstreams are removed. */
 const SWEEP_INTERVAL_MS = 250;
 
 type OwnerMessages = {
@@ -23,7 +23,8 @@
   sweep: null;
 };
 
-/** The task that owns upstreams: it alone decides when a request is sent to one of them. */
+/** The part of a router that owns upstreams: the owner of an upstream decides when requests are sent to it. Offers,
+ * replies and reports are processed one at a time by an actor. */
 export class Owner {
   private readonly registry: UpstreamRegistry;
   private readonly scheduler: JobScheduler;
@@ -37,69 +38,69 @@
     });
     this.scheduler = this.createScheduler();
     this.actor = Actor.create<OwnerMessages>(options.system, "owner", {
-      offer: ({ port, frame }) => this.scheduler.takeOffer(port, frame),
-      reply: ({ port, frame }) => this.scheduler.takeReply(port, frame),
-      portClosed: (port) => this.scheduler.dropPort(port),
+      offer: ({ port, frame }) => this.scheduler.handleOffer(port, frame),
+      reply: ({ port, frame }) => this.scheduler.handleReply(port, frame),
+      portClosed: (port) => this.scheduler.handlePortClosed(port),
       finished: ({ upstream, job }) => this.scheduler.finish(upstream, job),
       report: ({ upstream, report }) =>
-        this.scheduler.takeReport(upstream, report),
+        this.scheduler.handleReport(upstream, report),
       sweep: () => this.scheduler.sweep(),
     }, options.logger);
     this.timers = [
       setInterval(() => this.actor.tell("sweep", null), SWEEP_INTERVAL_MS),
       setInterval(
-        () => this.registry.readReports(),
+        () => this.registry.requestReports(),
         options.settings.routing.reportIntervalMs,
       ),
     ];
   }
 
   /** Creates an owner without upstreams.
-   * @param options What it needs. */
+   * @param options Dependencies. */
   static create(options: OwnerOptions): Owner {
     return new Owner(options);
   }
 
-  /** Takes an offer from an entry; the answer goes to the port.
-   * @param port Connection to the entry.
+  /** Handles an offer from an entry router and answers on the same connection.
+   * @param port Connection to the entry router.
    * @param frame The offer. */
   offer(port: FramePort, frame: FrameOf<"offer">): void {
     this.actor.tell("offer", { port, frame });
   }
 
-  /** Takes an entry's reply.
-   * @param port Connection to the entry.
+  /** Handles a reply of an entry router.
+   * @param port Connection to the entry router.
    * @param frame The reply. */
   reply(port: FramePort, frame: ReplyFrame): void {
     this.actor.tell("reply", { port, frame });
   }
 
-  /** Records that a caller has taken bytes; goes to the stream at once.
-   * @param port Connection to the entry.
+  /** Records that a caller has consumed bytes. This bypasses the actor, so that the stream continues at once.
+   * @param port Connection to the entry router.
    * @param frame The number of bytes. */
   credit(port: FramePort, frame: FrameOf<"credit">): void {
     this.scheduler.getJob(port, frame.exchange)?.credit(frame.bytes);
   }
 
-  /** Drops the work of an entry whose connection ended.
+  /** Stops the jobs of an entry router whose connection has closed.
    * @param port The connection. */
   portClosed(port: FramePort): void {
     this.actor.tell("portClosed", port);
   }
 
-  /** Loads of the upstreams this router owns: hash of the id, and the number. */
+  /** Returns the loads of the upstreams that this router owns, as pairs of the hash of the id and the load. */
   getLoads(): [number, number][] {
     return this.registry.getLoads();
   }
 
-  /** Takes the loads that another router tells of the upstreams it owns.
+  /** Records the loads that another router advertises for the upstreams that it owns.
    * @param routerId The other router.
-   * @param loads Hash of an upstream's id, and its requests in flight. */
+   * @param loads Pairs of the hash of an upstream's id and its requests in flight. */
   takePeerLoads(routerId: string, loads: readonly [number, number][]): void {
-    this.registry.takePeerLoads(routerId, loads);
+    this.registry.recordPeerLoads(routerId, loads);
   }
 
-  /** Requests this router has running or waiting, over all upstreams. */
+  /** Number of running and queued requests over all upstreams. */
   get openJobs(): number {
     let count = 0;
     for (const upstream of this.registry.getAll()) {
@@ -108,7 +109,7 @@
     return count;
   }
 
-  /** What operators see of each upstream. */
+  /** Returns the status of each upstream, as shown to operators. */
   describe(): UpstreamStatus[] {
     return this.registry.getAll().map((upstream) => ({
       id: upstream.host.id,
@@ -121,17 +122,17 @@
     }));
   }
 
-  /** Notes that this process was paused; what it knew of its upstreams' loads is no longer used. */
+  /** Handles a pause of this process: loads known from before it are no longer used. */
   notePause(): void {
-    this.registry.notePause();
+    this.registry.handlePause();
   }
 
-  /** Declines all further offers; what was taken goes on. */
+  /** Declines all further offers; accepted jobs continue. */
   stopAccepting(): void {
     this.scheduler.stopAccepting();
   }
 
-  /** Stops all work. */
+  /** Stops all jobs and closes the connections to upstreams. */
   async close(): Promise<void> {
     for (const timer of this.timers) clearInterval(timer);
     this.actor.close();
@@ -150,7 +151,7 @@
       timeline: processTimeline,
       streamWindowBytes: settings.limits.streamWindowBytes,
       run: (upstream, job) => {
-        void workOn(upstream, job, logger).finally(() =>
+        void executeJob(upstream, job, logger).finally(() =>
           this.actor.tell("finished", { upstream, job })
         );
       },
@@ -162,7 +163,8 @@
     });
   }
 
-  /** Reads a report; one that was asked for before a pause of this process says nothing of now. */
+  /** Reads the report of an upstream; a report that was requested before a pause of this process is discarded as
+   * outdated. */
   private async readReport(upstream: OwnedUpstream): Promise<void> {
     const { pauseCount } = upstream;
     if (upstream.backoffMs > 0) return;
--- a/src/owner/owner_options.ts
+++ b/src/owner/owner_options.ts
@@ -7,7 +7,7 @@
 import type { Settings } from "../settings/settings_schema.ts";
 import type { LoadBook } from "./load_book.ts";
 
-/** What the owner needs of the rest of the router. */
+/** Dependencies of the owner. */
 export interface OwnerOptions {
   settings: Settings;
   system: ActorSystem;
@@ -17,6 +17,6 @@
   loads: LoadBook;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
-  /** Called when the own load grew so much that peers should know at once. */
+  /** Called when the load of an upstream has grown so much that it must be advertised to peers at once. */
   onLoadGrew: () => void;
 }
--- a/src/owner/told_loads.ts
+++ b/src/owner/told_loads.ts
@@ -1,48 +1,50 @@
-/** Part of the told load by which an upstream's load may have grown before peers are told. */
-const UNTOLD_PART = 0.2;
-/** Requests by which it may have grown beyond that; each telling costs a datagram to every peer in reach. */
-const UNTOLD_STEP = 2;
+/** Fraction of the advertised load by which an upstream's load may grow before it is advertised again. */
+const UNADVERTISED_FRACTION = 0.2;
+/** Requests by which the load may grow beyond that fraction. Each advertisement costs a datagram to every reachable
+ * peer. */
+const UNADVERTISED_STEP = 2;
 
-/** Most requests that an owner may have started on an upstream and not told: whoever takes over from a lost owner
- * counts them as running, or the two together put more on the upstream than its bound.
- * @param told Load that the owner last told. */
-export function getMostUntold(told: number): number {
-  return Math.floor(UNTOLD_PART * told) + UNTOLD_STEP;
+/** Returns the maximum number of requests that an owner may have started on an upstream without advertising them. A
+ * router that takes over from a failed owner counts them as running; otherwise the two together could exceed the load
+ * bound.
+ * @param advertised Load that the owner last advertised. */
+export function getMaximumUnadvertised(advertised: number): number {
+  return Math.floor(UNADVERTISED_FRACTION * advertised) + UNADVERTISED_STEP;
 }
 
-/** An upstream's load as its owner knows it. */
-export interface OwnLoad {
+/** The load of one upstream, as known to its owner. */
+export interface OwnedUpstreamLoad {
   upstreamId: string;
   load: number;
 }
 
-/** What peers were told of the loads of a router's upstreams, to tell them again before one has grown too much. */
-export class ToldLoads {
-  private told: ReadonlyMap<string, number> = new Map();
+/** Tracks which loads of a router's upstreams were advertised to peers, and decides when to advertise them again. */
+export class AdvertisedLoads {
+  private advertised: ReadonlyMap<string, number> = new Map();
 
   private constructor() {}
 
-  /** Creates one of which nothing was told. */
-  static create(): ToldLoads {
-    return new ToldLoads();
+  /** Creates an instance for a router that has advertised no load. */
+  static create(): AdvertisedLoads {
+    return new AdvertisedLoads();
   }
 
-  /** Takes the loads as they are now.
+  /** Records the current loads.
    * @param loads Loads of all upstreams of the router.
-   * @returns Whether peers are to be told of them now; they then count as told. */
-  note(loads: readonly OwnLoad[]): boolean {
+   * @returns Whether to advertise the loads now; if so, they count as advertised. */
+  update(loads: readonly OwnedUpstreamLoad[]): boolean {
     const hasGrown = loads.some((one) => this.hasGrown(one));
-    this.told = new Map(
+    this.advertised = new Map(
       loads.map(({ upstreamId, load }) => {
-        const told = this.told.get(upstreamId) ?? 0;
-        return [upstreamId, hasGrown ? load : Math.min(told, load)];
+        const advertised = this.advertised.get(upstreamId) ?? 0;
+        return [upstreamId, hasGrown ? load : Math.min(advertised, load)];
       }),
     );
     return hasGrown;
   }
 
-  private hasGrown({ upstreamId, load }: OwnLoad): boolean {
-    const told = this.told.get(upstreamId) ?? 0;
-    return load - told >= getMostUntold(told);
+  private hasGrown({ upstreamId, load }: OwnedUpstreamLoad): boolean {
+    const advertised = this.advertised.get(upstreamId) ?? 0;
+    return load - advertised >= getMaximumUnadvertised(advertised);
   }
 }
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -8,22 +8,27 @@
 import type { Host } from "../configuration_service/host_schema.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { logAvailability } from "../upstreams/log_availability.ts";
-import { REPORTS_LACK_MS } from "./foreign_load.ts";
-import { HeardShare } from "./heard_share.ts";
+import { REPORT_CATCH_UP_MS } from "./foreign_load.ts";
+import { ReachableShare } from "./heard_share.ts";
 import {
   chooseMean,
   computeCap,
   hasRoom,
-  KEPT_PLACES,
-  type LoadBoundStructure,
+  type LoadBoundInputs,
+  RESERVED_SLOTS,
 } from "./load_bound.ts";
-import { type LoadBook, REMEMBERED_MS, UNREACHABLE_LOAD } from "./load_book.ts";
+import {
+  type LoadBook,
+  MAX_FORMER_OWNER_LOAD_AGE_MS,
+  UNREACHABLE_LOAD,
+} from "./load_book.ts";
 import { OwnedUpstream } from "./owned_upstream.ts";
 
-/** Rank in an upstream's order of the router that takes requests of entries which do not reach the owner. */
-const DEPUTY_RANK = 1;
+/** Index, in the ordered owners of an upstream, of the backup owner. It accepts requests of entry routers that cannot
+ * reach the owner. */
+const BACKUP_OWNER_RANK = 1;
 
-/** What the registry needs of the rest of the router. */
+/** Dependencies of the registry. */
 export interface UpstreamRegistryOptions {
   settings: Settings;
   logger: Logger;
@@ -31,18 +36,18 @@
   loads: LoadBook;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
-  /** Asks an upstream for its report. */
+  /** Requests a report from an upstream. */
   requestReport: (upstream: OwnedUpstream) => void;
-  /** The process's by default. */
+  /** Defaults to the timeline of the process. */
   timeline?: Timeline;
 }
 
-/** The upstreams that a router owns or still has work on, with what bounds them. */
+/** The upstreams that a router owns or still has work on, and their load bounds. */
 export class UpstreamRegistry {
   private readonly upstreams = new Map<string, OwnedUpstream>();
-  private readonly share = HeardShare.create();
-  /** Routers that have told their loads. */
-  private readonly toldBy = new Set<string>();
+  private readonly share = ReachableShare.create();
+  /** Routers that have advertised their loads. */
+  private readonly advertisers = new Set<string>();
 
   private readonly timeline: Timeline;
 
@@ -51,18 +56,19 @@
   }
 
   /** Creates an empty registry.
-   * @param options What it needs. */
+   * @param options Dependencies. */
   static create(options: UpstreamRegistryOptions): UpstreamRegistry {
     return new UpstreamRegistry(options);
   }
 
-  /** All upstreams. */
+  /** Returns all upstreams of the registry. */
   getAll(): OwnedUpstream[] {
     return [...this.upstreams.values()];
   }
 
-  /** Returns an upstream with its present place on the list, or nothing where it is not listed.
-   * @param id The upstream. */
+  /** Returns an upstream, refreshed from the host list and added if needed, or undefined if it is neither known nor
+   * listed.
+   * @param id Id of the upstream. */
   getUpstream(id: string): OwnedUpstream | undefined {
     const host = this.options.getView().getUpstream(id);
     const known = this.upstreams.get(id);
@@ -72,41 +78,42 @@
     return upstream;
   }
 
-  /** Loads of the upstreams this router owns: hash of the id, and the number. */
+  /** Returns the loads of the upstreams that this router owns, as pairs of the hash of the id and the load. */
   getLoads(): [number, number][] {
     const owned = [...this.upstreams.values()].filter((upstream) =>
       upstream.isOwned
     );
     return owned.map((upstream) => [
       hashText(upstream.host.id),
-      upstream.isReachable ? upstream.leastLoad : UNREACHABLE_LOAD,
+      upstream.isReachable ? upstream.minimumLoad : UNREACHABLE_LOAD,
     ]);
   }
 
-  /** Records the loads of the upstreams that another router owns. Where this router owns one of them too, ownership has just
-   * moved here, and the requests of the other are foreign.
+  /** Records the loads that another router advertises for the upstreams that it owns. If this router owns one of them
+   * too, ownership has just moved here, and the requests of the other router count as foreign load.
    * @param routerId The other router.
-   * @param loads Hash of an upstream's id, and its requests in flight. */
-  takePeerLoads(routerId: string, loads: readonly [number, number][]): void {
+   * @param loads Pairs of the hash of an upstream's id and its requests in flight. */
+  recordPeerLoads(routerId: string, loads: readonly [number, number][]): void {
     const now = this.timeline.read();
-    this.toldBy.add(routerId);
+    this.advertisers.add(routerId);
     this.options.loads.record(loads, now);
     const byHash = new Map(loads);
     for (const upstream of this.upstreams.values()) {
-      const told = byHash.get(hashText(upstream.host.id));
-      if (told === undefined || !upstream.isOwned) continue;
-      upstream.foreign.takeOver(told, now);
+      const advertised = byHash.get(hashText(upstream.host.id));
+      if (advertised === undefined || !upstream.isOwned) continue;
+      upstream.foreign.beginTakeover(advertised, now);
     }
   }
 
-  /** Takes over the upstreams that this router came to own, and forgets those it has nothing to do with. */
+  /** Adds upstreams that this router has become the owner of, and removes unused ones that it does not own. An upstream
+   * that asked for no requests is kept while it is listed, so that this is not forgotten. */
   refresh(): void {
     for (const upstream of this.upstreams.values()) {
       const { host } = upstream;
       upstream.host = this.options.getView().getUpstream(host.id) ??
         { ...host, state: "leaving" };
       this.refreshOwnership(upstream);
-      this.forgetUnused(upstream);
+      this.removeIfUnused(upstream);
     }
     for (const host of this.options.getView().upstreams) {
       if (this.isOwner(host) && !this.upstreams.has(host.id)) {
@@ -115,9 +122,9 @@
     }
   }
 
-  /** Returns the router that an offer is to go to in place of this one; undefined where it may stay.
+  /** Returns the router to which an offer must be redirected, or undefined if this router may handle it.
    * @param upstream The upstream.
-   * @param avoids Routers that did not answer the entry. */
+   * @param avoids Routers that did not answer the entry router. */
   findOtherOwner(
     upstream: OwnedUpstream,
     avoids: readonly string[],
@@ -127,55 +134,55 @@
     const [owner] = owners;
     if (owner === undefined || owner === id) return undefined;
     if (!avoids.includes(owner)) return owner;
-    const deputy = owners[DEPUTY_RANK];
-    return deputy === id ? undefined : deputy;
+    const backupOwner = owners[BACKUP_OWNER_RANK];
+    return backupOwner === id ? undefined : backupOwner;
   }
 
-  /** Notes that this process was paused; each upstream takes work again once it has reported. */
-  notePause(): void {
+  /** Handles a pause of this process: no upstream gets new requests until it has reported again. */
+  handlePause(): void {
     const now = this.timeline.read();
-    for (const upstream of this.upstreams.values()) upstream.notePause(now);
-    this.readReports();
+    for (const upstream of this.upstreams.values()) upstream.handlePause(now);
+    this.requestReports();
   }
 
-  /** Whether one more request may be started on an upstream.
+  /** Returns whether one more request may be started on an upstream.
    * @param upstream The upstream. */
   hasRoom(upstream: OwnedUpstream): boolean {
     if (upstream.isLoadUnknown) return false;
     if (!upstream.client.availability.hasRoom(this.timeline.read())) {
       return false;
     }
-    if (!this.isOwner(upstream.host)) return hasPlaceOfOne(upstream);
-    if (this.awaitsFormerOwner(upstream) && !hasPlaceOfOne(upstream)) {
+    if (!this.isOwner(upstream.host)) return hasReservedSlot(upstream);
+    if (this.isAwaitingFormerOwner(upstream) && !hasReservedSlot(upstream)) {
       return false;
     }
     if (!this.isBounded) return upstream.load < upstream.host.slots;
     const load = { own: upstream.running.size, foreign: upstream.foreign.load };
-    return hasRoom(this.getBound(upstream), load);
+    return hasRoom(this.getBoundInputs(upstream), load);
   }
 
-  /** Requests an upstream may carry now.
+  /** Returns the maximum number of requests that an upstream may carry now.
    * @param upstream The upstream. */
   getCap(upstream: OwnedUpstream): number {
     return this.describeBound(upstream).cap;
   }
 
-  /** What bounds an upstream now: the mean of its pool as it is known here, and the requests that it may carry.
+  /** Returns the mean load of an upstream's pool, as known to this router, and the cap computed from it.
    * @param upstream The upstream. */
   describeBound(upstream: OwnedUpstream): { mean: number; cap: number } {
-    const bound = this.getBound(upstream);
+    const bound = this.getBoundInputs(upstream);
     const cap = this.isBounded ? computeCap(bound) : upstream.host.slots;
     return { mean: bound.mean, cap };
   }
 
-  /** Reads the reports of all upstreams. */
-  readReports(): void {
+  /** Requests the reports of all upstreams. */
+  requestReports(): void {
     for (const upstream of this.upstreams.values()) {
       this.options.requestReport(upstream);
     }
   }
 
-  /** Ends all connections to upstreams. */
+  /** Closes all connections to upstreams. */
   async close(): Promise<void> {
     for (const upstream of this.upstreams.values()) {
       await upstream.client.close();
@@ -186,28 +193,31 @@
     return POLICIES[this.options.settings.routing.policy].isBounded;
   }
 
-  private getBound(upstream: OwnedUpstream): LoadBoundStructure {
+  private getBoundInputs(upstream: OwnedUpstream): LoadBoundInputs {
     const { boundMultiple, minimumCap } = this.options.settings.routing;
     const now = this.timeline.read();
     this.options.loads.record(this.getLoads(), now);
     const pool = this.options.getPlacement().getPool(upstream.host);
     const means = this.options.loads.getMeans(pool, now);
     const mean = chooseMean(means, boundMultiple);
-    const heardShare = this.share.get(this.options.getView().heardShare, now);
+    const reachableShare = this.share.update(
+      this.options.getView().heardShare,
+      now,
+    );
     return {
       boundMultiple,
       minimumCap,
       slots: upstream.host.slots,
       mean,
-      heardShare,
+      reachableShare,
     };
   }
 
-  private forgetUnused(upstream: OwnedUpstream): void {
+  private removeIfUnused(upstream: OwnedUpstream): void {
     const isUsed = upstream.running.size > 0 || upstream.queue.length > 0;
     const isListed =
       this.options.getView().getUpstream(upstream.host.id) !== undefined;
-    const isKept = this.isOwner(upstream.host) || upstream.isLeftAlone;
+    const isKept = this.isOwner(upstream.host) || upstream.refusesRequests;
     if (isUsed || (isListed && isKept)) return;
     this.upstreams.delete(upstream.host.id);
     void upstream.client.close();
@@ -234,35 +244,38 @@
       who,
       what: host.id,
       revision: this.options.getView().version,
-      why: "first in its rendezvous order among the routers heard",
+      why: "first in rendezvous order among the reachable routers",
     });
     this.refreshOwnership(upstream);
     this.options.requestReport(upstream);
     return upstream;
   }
 
-  /** Takes what the former owner last told as foreign, until the upstream itself reports.
-   * A router that is not the owner, for it sees the fleet otherwise than the entry, does the same all the time. */
+  /** Refreshes whether this router owns an upstream. If it did not own the upstream before, the last advertised load
+   * counts as foreign until reports of the upstream include it. For a router that is not the owner but gets offers,
+   * because the entry router sees the fleet differently, this is repeated at every refresh. */
   private refreshOwnership(upstream: OwnedUpstream): void {
     const wasOwned = upstream.isOwned;
     upstream.isOwned = this.isOwner(upstream.host);
     if (wasOwned) return;
     const now = this.timeline.read();
     if (upstream.isOwned) upstream.ownedSince = now;
-    const told = this.options.loads.getLoad(
+    const load = this.options.loads.getLoad(
       upstream.host.id,
       now,
-      REMEMBERED_MS,
+      MAX_FORMER_OWNER_LOAD_AGE_MS,
     );
-    if (told !== undefined) upstream.foreign.takeOver(told, now);
+    if (load !== undefined) upstream.foreign.beginTakeover(load, now);
   }
 
-  /** Whether the router that owned an upstream before this one joined may have requests there that are not counted here. It is
-   * the next in order; its requests are counted once it has told its loads, or once they show in reports. */
-  private awaitsFormerOwner({ host, ownedSince }: OwnedUpstream): boolean {
-    if (this.timeline.read() - ownedSince >= REPORTS_LACK_MS) return false;
-    const former = this.options.getPlacement().getOwners(host)[DEPUTY_RANK];
-    return former !== undefined && !this.toldBy.has(former);
+  /** Returns whether the router that owned an upstream before this one joined may have requests there that are not
+   * counted yet. The former owner is the next in the order of owners; its requests are counted once it has advertised
+   * its loads or once reports include them. */
+  private isAwaitingFormerOwner({ host, ownedSince }: OwnedUpstream): boolean {
+    if (this.timeline.read() - ownedSince >= REPORT_CATCH_UP_MS) return false;
+    const formerOwner =
+      this.options.getPlacement().getOwners(host)[BACKUP_OWNER_RANK];
+    return formerOwner !== undefined && !this.advertisers.has(formerOwner);
   }
 
   private isOwner(host: Host): boolean {
@@ -271,8 +284,9 @@
   }
 }
 
-/** Whether a router may start a request on an upstream beside another that takes itself for the owner: one at a time, which
- * the bound of the other leaves room for, since neither of the two learns in time what the other starts. */
-function hasPlaceOfOne({ running }: OwnedUpstream): boolean {
-  return running.size < KEPT_PLACES;
+/** Returns whether this router may start a request on an upstream while another router may consider itself the owner.
+ * Neither learns in time what the other starts, so only the slots that the other's load bound reserves may be used: one
+ * request at a time. */
+function hasReservedSlot({ running }: OwnedUpstream): boolean {
+  return running.size < RESERVED_SLOTS;
 }
--- a/src/owner/upstream_status.ts
+++ b/src/owner/upstream_status.ts
@@ -1,16 +1,16 @@
-/** What operators see of one upstream at a router. */
+/** The status of one upstream at a router, as shown to operators. */
 export interface UpstreamStatus {
   id: string;
-  /** Whether this router owns it now. */
+  /** Whether this router owns the upstream. */
   owned: boolean;
-  /** Requests this router has running. */
+  /** Requests that this router has running. */
   running: number;
-  /** Requests other routers are taken to have running. */
+  /** Estimated requests that other routers have running. */
   foreign: number;
-  /** Requests that wait. */
+  /** Queued requests. */
   waiting: number;
-  /** Requests it may carry now. */
+  /** Maximum number of requests that the upstream may carry now. */
   cap: number;
-  /** Whether new work may go to it. */
+  /** Whether the upstream accepts new work. */
   takesWork: boolean;
 }
--- a/tests/owner/build_fleet.ts
+++ b/tests/owner/build_fleet.ts
@@ -9,7 +9,7 @@
 /** Id of the router of these tests. */
 export const OWN_ID = "r-0";
 /** Routers beside which that router is not the first for the upstream `s-0`. */
-export const OTHERS: readonly string[] = Array.from(
+export const OTHER_ROUTERS: readonly string[] = Array.from(
   { length: 20 },
   (_, index) => `r-${index + 1}`,
 );
--- a/tests/owner/fair_queue_test.ts
+++ b/tests/owner/fair_queue_test.ts
@@ -1,20 +1,17 @@
 import test from "ava";
-import {
-  FairQueue,
-  type ShareholderStructure,
-} from "../../src/owner/fair_queue.ts";
+import { FairQueue, type QueueItem } from "../../src/owner/fair_queue.ts";
 
 function item(
   customer: string,
   priority = 5,
   capacityShare = 0.25,
-): ShareholderStructure {
+): QueueItem {
   return { customer, partner: "kilima", priority, capacityShare };
 }
 
 test("a customer that surges does not hold up one that is below its share", (t) => {
   const queue = FairQueue.create(100);
-  for (let count = 0; count < 4; count++) queue.started(item("surging"));
+  for (let count = 0; count < 4; count++) queue.markStarted(item("surging"));
   for (let count = 0; count < 40; count++) queue.push(item("surging"));
   queue.push(item("small"));
   t.is(queue.take(8)?.customer, "small");
@@ -22,7 +19,7 @@
 
 test("a customer alone may use everything", (t) => {
   const queue = FairQueue.create(100);
-  for (let count = 0; count < 10; count++) queue.started(item("alone"));
+  for (let count = 0; count < 10; count++) queue.markStarted(item("alone"));
   queue.push(item("alone"));
   t.is(queue.take(8)?.customer, "alone");
 });
@@ -36,7 +33,10 @@
 
 test("one customer fills at most half of the queue, and nobody more than all of it", (t) => {
   const queue = FairQueue.create(10);
-  const refusals = Array.from({ length: 6 }, () => queue.push(item("surging")));
+  const refusals = Array.from(
+    { length: 6 },
+    () => queue.push(item("surging")),
+  );
   t.deepEqual(refusals, [
     undefined,
     undefined,
--- a/tests/owner/load_book_test.ts
+++ b/tests/owner/load_book_test.ts
@@ -5,28 +5,28 @@
 import { auditBound } from "../../tools/bound_audit.ts";
 
 /** What settings promise by default, and the age a mean may have; as in the tests with real processes. */
-const PROMISE = { multiple: 2, minimum: 4, lagMs: 2_000 };
+const GUARANTEE = { multiple: 2, minimum: 4, lagMs: 2_000 };
 const ENGINES = ["e-0", "e-1", "e-2", "e-3"];
-const LOAD_BEFORE = 10;
+const INITIAL_LOAD = 10;
 /** Lateness of a process beside load: until a report is read, and until a request that was let go reaches its engine. */
 const REPORT_DELAY_MS = 400;
 const START_DELAY_MS = 500;
 
 /** How the load of each engine rose, by one request at a time. */
-const RISE = Array.from(
-  { length: LOAD_BEFORE },
-  (_, index): [number, number] => [index - LOAD_BEFORE, index + 1],
+const LOAD_INCREASE = Array.from(
+  { length: INITIAL_LOAD },
+  (_, index): [number, number] => [index - INITIAL_LOAD, index + 1],
 );
 
 /** Starts that a router lets go at a moment, on one engine that has become idle. */
-function countStarts(book: LoadBook, now: number): number {
+function countStartable(book: LoadBook, now: number): number {
   const mean = book.getMeans(ENGINES, now).reachable;
   return computeCap({
-    boundMultiple: PROMISE.multiple,
-    minimumCap: PROMISE.minimum,
+    boundMultiple: GUARANTEE.multiple,
+    minimumCap: GUARANTEE.minimum,
     slots: 64,
     mean,
-    heardShare: 1,
+    reachableShare: 1,
   });
 }
 
@@ -34,16 +34,16 @@
   for (let decidedAt = 0; decidedAt <= 4_000; decidedAt += 50) {
     const book = LoadBook.create();
     if (decidedAt >= REPORT_DELAY_MS) {
-      const told = ENGINES.map((id): [number, number] => [
+      const advertised = ENGINES.map((id): [number, number] => [
         hashText(id),
-        LOAD_BEFORE,
+        INITIAL_LOAD,
       ]);
-      book.record(told, REPORT_DELAY_MS);
+      book.record(advertised, REPORT_DELAY_MS);
     }
-    const starts = countStarts(book, decidedAt);
+    const starts = countStartable(book, decidedAt);
     const arrivedAt = decidedAt + START_DELAY_MS;
     const ledgers = ENGINES.map((_, engine) => {
-      const ledger: [number, number][] = [...RISE, [0, 0]];
+      const ledger: [number, number][] = [...LOAD_INCREASE, [0, 0]];
       if (engine > 0) return ledger;
       const arrivals = Array.from(
         { length: starts },
@@ -51,7 +51,7 @@
       );
       return [...ledger, ...arrivals];
     });
-    const report = auditBound(ledgers, PROMISE);
+    const report = auditBound(ledgers, GUARANTEE);
     t.is(report.violations, 0, `decided at ${decidedAt} ms`);
   }
 });
@@ -68,25 +68,25 @@
       ]),
       0,
     );
-    const mean = chooseMean(book.getMeans(pool, 0), PROMISE.multiple);
+    const mean = chooseMean(book.getMeans(pool, 0), GUARANTEE.multiple);
     const cap = computeCap({
-      boundMultiple: PROMISE.multiple,
-      minimumCap: PROMISE.minimum,
+      boundMultiple: GUARANTEE.multiple,
+      minimumCap: GUARANTEE.minimum,
       slots: 64,
       mean,
-      heardShare: 1,
+      reachableShare: 1,
     });
     const poolMean = load * (pool.length - 1) / pool.length;
-    const promised = Math.max(
-      PROMISE.minimum,
-      Math.ceil(PROMISE.multiple * poolMean),
+    const guaranteed = Math.max(
+      GUARANTEE.minimum,
+      Math.ceil(GUARANTEE.multiple * poolMean),
     );
-    t.true(cap < promised, `load ${load}: ${cap} of ${promised}`);
-    t.true(cap > load || load < PROMISE.minimum, `load ${load}: ${cap}`);
+    t.true(cap < guaranteed, `load ${load}: ${cap} of ${guaranteed}`);
+    t.true(cap > load || load < GUARANTEE.minimum, `load ${load}: ${cap}`);
   }
 });
 
 test("engines that are left alone in reach go on with their load", (t) => {
   const means = { reachable: 10, all: 10 / 3 };
-  t.is(chooseMean(means, PROMISE.multiple), means.reachable);
+  t.is(chooseMean(means, GUARANTEE.multiple), means.reachable);
 });
--- a/tests/owner/load_bound_test.ts
+++ b/tests/owner/load_bound_test.ts
@@ -7,11 +7,11 @@
   minimumCap: fc.integer({ min: 1, max: 10 }),
   slots: fc.integer({ min: 1, max: 200 }),
   mean: fc.double({ min: 0, max: 100, noNaN: true }),
-  heardShare: fc.constant(1),
+  reachableShare: fc.constant(1),
 });
 
 test("the cap never exceeds the promised multiple of the mean, the minimum or the slots", (t) => {
-  const keeps = fc.property(bound, (one) => {
+  const property = fc.property(bound, (one) => {
     const promised = Math.max(
       one.minimumCap,
       Math.ceil(one.boundMultiple * one.mean),
@@ -19,7 +19,7 @@
     return computeCap(one) <= Math.min(promised, one.slots) &&
       computeCap(one) >= 1;
   });
-  t.notThrows(() => fc.assert(keeps, { seed: 1, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 1, numRuns: 2_000 }));
 });
 
 // A second router may start a request unseen; at means of 1.9 to 2 the owner used all four places that are promised.
@@ -43,10 +43,11 @@
     (one, listed, cut) => {
       const left = Math.min(cut, listed - 1);
       const sides = [left / listed, (listed - left) / listed];
-      const started = sides.map((heardShare) => {
+      const started = sides.map((reachableShare) => {
         let own = 0;
         while (
-          own < 1_000 && hasRoom({ ...one, heardShare }, { own, foreign: 0 })
+          own < 1_000 &&
+          hasRoom({ ...one, reachableShare }, { own, foreign: 0 })
         ) own += 1;
         return own;
       });
@@ -60,8 +61,8 @@
   const keeps = fc.property(
     bound,
     fc.double({ min: 0.01, max: 1, noNaN: true }),
-    (one, heardShare) =>
-      hasRoom({ ...one, heardShare }, { own: 0, foreign: 0 }),
+    (one, reachableShare) =>
+      hasRoom({ ...one, reachableShare }, { own: 0, foreign: 0 }),
   );
   t.notThrows(() => fc.assert(keeps, { seed: 3, numRuns: 500 }));
 });
--- a/tests/owner/owned_upstream_test.ts
+++ b/tests/owner/owned_upstream_test.ts
@@ -29,7 +29,7 @@
       customer: `c-${index}`,
       offer: { resumes: false },
     } as unknown as Job;
-    upstream.add(job, now);
+    upstream.addRunning(job, now);
     return job;
   });
 }
@@ -37,28 +37,28 @@
 test("requests from before a pause do not hide those that another router started meanwhile", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   const jobs = startJobs(upstream, 3, 0);
-  upstream.takeReport(buildReport(3), 500);
+  upstream.recordReport(buildReport(3), 500);
   t.is(upstream.load, 3);
 
   const wokeAt = 5_000;
-  upstream.notePause(wokeAt);
-  for (const job of jobs) upstream.delete(job, wokeAt);
-  upstream.takeReport(buildReport(4), wokeAt + 10);
+  upstream.handlePause(wokeAt);
+  for (const job of jobs) upstream.removeRunning(job, wokeAt);
+  upstream.recordReport(buildReport(4), wokeAt + 10);
   t.is(upstream.load, 4);
 });
 
 test("after a pause the load is unknown until a report comes that can't lack what another router started", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   upstream.isOwned = true;
-  upstream.takeReport(buildReport(0), 0);
-  upstream.notePause(5_000);
+  upstream.recordReport(buildReport(0), 0);
+  upstream.handlePause(5_000);
   t.true(upstream.isLoadUnknown);
   t.false(upstream.isOwned);
-  upstream.takeReport(undefined, 5_010);
+  upstream.recordReport(undefined, 5_010);
   t.true(upstream.isLoadUnknown);
-  upstream.takeReport(buildReport(2), 5_020);
+  upstream.recordReport(buildReport(2), 5_020);
   t.true(upstream.isLoadUnknown);
-  upstream.takeReport(buildReport(4), 6_010);
+  upstream.recordReport(buildReport(4), 6_010);
   t.false(upstream.isLoadUnknown);
   t.is(upstream.load, 4);
 });
@@ -67,29 +67,29 @@
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   const told = 3;
   const running = 4;
-  upstream.foreign.takeOver(told, 0);
+  upstream.foreign.beginTakeover(told, 0);
   t.true(upstream.load >= running);
-  upstream.takeReport(buildReport(2), 50);
+  upstream.recordReport(buildReport(2), 50);
   t.true(upstream.load >= running);
-  upstream.takeReport(buildReport(running), 1_500);
+  upstream.recordReport(buildReport(running), 1_500);
   t.is(upstream.load, running);
 });
 
 test("a request that is taken over is not counted twice", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
-  upstream.foreign.takeOver(3, 0);
+  upstream.foreign.beginTakeover(3, 0);
   const before = upstream.load;
   const job = {
     customer: "c",
     offer: { resumes: true },
   } as unknown as Job;
-  upstream.add(job, 10);
-  upstream.takeReport(buildReport(3), 50);
+  upstream.addRunning(job, 10);
+  upstream.recordReport(buildReport(3), 50);
   t.is(upstream.load, before);
 });
 
 test("an upstream of which the lost owner told no request is used at once", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
-  upstream.foreign.takeOver(0, 0);
+  upstream.foreign.beginTakeover(0, 0);
   t.is(upstream.load, 0);
 });
--- a/tests/owner/owner_test.ts
+++ b/tests/owner/owner_test.ts
@@ -17,16 +17,16 @@
   buildService,
   buildSettings,
   buildView,
-  OTHERS,
+  OTHER_ROUTERS,
 } from "./build_fleet.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
 
 /** Longer than this test takes, in milliseconds. */
-const LONG_MS = 60_000;
+const TEST_TIMEOUT_MS = 60_000;
 /** Requests that the upstream takes at once. */
-const PLACES = 2;
+const SLOTS = 2;
 /** Offers; more than that. */
-const OFFERS = 6;
+const OFFER_COUNT = 6;
 
 function buildServiceOffer(exchange: number): FrameOf<"offer"> {
   return buildOffer({
@@ -37,7 +37,7 @@
     method: "GET",
     path: "/",
     customer: `c-${exchange}`,
-    remainingMs: LONG_MS,
+    remainingMs: TEST_TIMEOUT_MS,
   });
 }
 
@@ -54,7 +54,7 @@
 function createOwner(upstream: Host) {
   const logger = pino({ level: "silent" });
   let view = buildView(1, upstream, []);
-  const guard = PauseGuard.create(LONG_MS, () => undefined);
+  const guard = PauseGuard.create(TEST_TIMEOUT_MS, () => undefined);
   guard.markHeard();
   const owner = Owner.create({
     settings: buildSettings(),
@@ -67,39 +67,39 @@
     getPlacement: () => PlacementTable.create(view, "dar"),
     onLoadGrew: () => undefined,
   });
-  const see = (others: readonly string[]) =>
+  const setOtherRouters = (others: readonly string[]) =>
     view = buildView(view.version + 1, upstream, others);
   const close = async () => {
     guard.close();
     await owner.close();
   };
-  return { owner, see, close };
+  return { owner, see: setOtherRouters, close };
 }
 
 test("what waits at a router that owns the upstream no more goes to the one that does", async (t) => {
-  const service = await FakeService.create({ callMs: LONG_MS });
+  const service = await FakeService.create({ callMs: TEST_TIMEOUT_MS });
   const { owner, see, close } = createOwner({
     ...buildService(service.port),
-    slots: PLACES,
+    slots: SLOTS,
   });
   const { port, getAll } = createRecordingPort();
-  for (let exchange = 0; exchange < OFFERS; exchange++) {
+  for (let exchange = 0; exchange < OFFER_COUNT; exchange++) {
     owner.offer(port, buildServiceOffer(exchange));
   }
   await waitUntil(
     "all are accepted",
-    () => getAll("accepted").length === OFFERS,
+    () => getAll("accepted").length === OFFER_COUNT,
   );
   const waiting = getAll("accepted").filter(({ queued }) => queued);
   t.true(waiting.length > 0);
-  see(OTHERS);
+  see(OTHER_ROUTERS);
   await waitUntil(
     "they are told",
     () => getAll("declined").length === waiting.length,
   );
   for (const { reason, owner: other } of getAll("declined")) {
     t.is(reason, "moved");
-    t.true(OTHERS.includes(other));
+    t.true(OTHER_ROUTERS.includes(other));
   }
   await close();
   await service.close();
--- a/tests/owner/told_loads_test.ts
+++ b/tests/owner/told_loads_test.ts
@@ -1,6 +1,9 @@
 import test from "ava";
 import fc from "fast-check";
-import { getMostUntold, ToldLoads } from "../../src/owner/told_loads.ts";
+import {
+  AdvertisedLoads,
+  getMaximumUnadvertised,
+} from "../../src/owner/told_loads.ts";
 
 test("an upstream's load never exceeds what was told by as much as a new owner counts for it", (t) => {
   const changes = fc.array(fc.array(fc.nat({ max: 40 }), {
@@ -9,15 +12,15 @@
   }));
   fc.assert(
     fc.property(changes, (rounds) => {
-      const toldLoads = ToldLoads.create();
+      const toldLoads = AdvertisedLoads.create();
       let told = [0, 0, 0];
       for (const loads of rounds) {
-        const isTold = toldLoads.note(
+        const isTold = toldLoads.update(
           loads.map((load, index) => ({ upstreamId: `e-${index}`, load })),
         );
         if (isTold) told = loads;
         loads.forEach((load, index) => {
-          t.true(load - told[index]! < getMostUntold(told[index]!));
+          t.true(load - told[index]! < getMaximumUnadvertised(told[index]!));
         });
       }
     }),
@@ -26,9 +29,9 @@
 });
 
 test("one upstream's growth is told though another's load fell by as much", (t) => {
-  const toldLoads = ToldLoads.create();
+  const toldLoads = AdvertisedLoads.create();
   const note = (a: number, b: number) =>
-    toldLoads.note([
+    toldLoads.update([
       { upstreamId: "a", load: a },
       { upstreamId: "b", load: b },
     ]);
--- a/tests/owner/upstream_registry_test.ts
+++ b/tests/owner/upstream_registry_test.ts
@@ -10,7 +10,7 @@
   buildService,
   buildSettings,
   buildView,
-  OTHERS,
+  OTHER_ROUTERS,
 } from "./build_fleet.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
 
@@ -18,7 +18,7 @@
 const UPSTREAM = buildService(1);
 
 /** A router beside which the router of these tests is the first for the upstream. */
-const FORMER = "r-3";
+const FORMER_OWNER_ID = "r-3";
 
 /** A registry of a router that sees the routers it is told, and owns the upstream where it sees none but itself. */
 function createRegistry() {
@@ -33,11 +33,11 @@
     getPlacement: () => PlacementTable.create(view, "dar"),
     requestReport: () => undefined,
   });
-  const see = (others: readonly string[]) => {
+  const setOtherRouters = (others: readonly string[]) => {
     view = buildView(view.version + 1, UPSTREAM, others);
     registry.refresh();
   };
-  return { registry, see };
+  return { registry, see: setOtherRouters };
 }
 
 test("a router that stops owning an upstream for a moment still knows what it asked for", async (t) => {
@@ -48,7 +48,7 @@
     notice,
     performance.now(),
   );
-  see(OTHERS);
+  see(OTHER_ROUTERS);
   t.false(registry.getUpstream(UPSTREAM.id)!.isOwned);
   registry.refresh();
   see([]);
@@ -58,30 +58,30 @@
 });
 
 /** Counts one more request as running on the upstream. */
-function startOne(registry: UpstreamRegistry): void {
+function addRunningJob(registry: UpstreamRegistry): void {
   const port = createPort("entry", () => undefined);
   const job = Job.create(port, buildOffer({}), 0, 1_000);
-  registry.getUpstream(UPSTREAM.id)!.add(job, performance.now());
+  registry.getUpstream(UPSTREAM.id)!.addRunning(job, performance.now());
 }
 
 // A router that came back started up to its bound beside the requests of the router that had owned the engine meanwhile.
 test("a router that joins starts one request at a time until the former owner has told its load", async (t) => {
   const { registry, see } = createRegistry();
-  const upstreamOf = () => registry.getUpstream(UPSTREAM.id)!;
-  see([FORMER]);
-  t.true(upstreamOf().isOwned);
-  t.true(registry.hasRoom(upstreamOf()));
-  startOne(registry);
-  t.false(registry.hasRoom(upstreamOf()));
-  registry.takePeerLoads(FORMER, [[hashText(UPSTREAM.id), 0]]);
-  t.true(registry.hasRoom(upstreamOf()));
+  const getUpstream = () => registry.getUpstream(UPSTREAM.id)!;
+  see([FORMER_OWNER_ID]);
+  t.true(getUpstream().isOwned);
+  t.true(registry.hasRoom(getUpstream()));
+  addRunningJob(registry);
+  t.false(registry.hasRoom(getUpstream()));
+  registry.recordPeerLoads(FORMER_OWNER_ID, [[hashText(UPSTREAM.id), 0]]);
+  t.true(registry.hasRoom(getUpstream()));
   await registry.close();
 });
 
 test("the load that a former owner tells counts as foreign until reports show it", async (t) => {
   const { registry, see } = createRegistry();
-  see([FORMER]);
-  registry.takePeerLoads(FORMER, [[hashText(UPSTREAM.id), 3]]);
+  see([FORMER_OWNER_ID]);
+  registry.recordPeerLoads(FORMER_OWNER_ID, [[hashText(UPSTREAM.id), 3]]);
   const upstream = registry.getUpstream(UPSTREAM.id)!;
   t.true(upstream.foreign.load >= 3);
   t.false(registry.hasRoom(upstream));
--- a/tests/owner/virtual_chats.ts
+++ b/tests/owner/virtual_chats.ts
@@ -10,23 +10,23 @@
 import type { VirtualRouter } from "./virtual_router.ts";
 
 const ACCEPT_TIMEOUT_MS = 700;
-const OWNERS_PER_UPSTREAM = 3;
-const PAUSE_MS = [5, 60] as const;
+const MAX_ATTEMPTS = 3;
+const THINK_TIME_MS = [5, 60] as const;
 
 /** One request of a chat, as its entry knows it. */
 interface ChatRequest
   extends Pick<Progress, "silent" | "retried" | "namedOwners"> {
   id: string;
   entry: VirtualRouter;
-  heldBy: boolean;
-  tries: number;
+  mayBeRunning: boolean;
+  attempts: number;
 }
 
 /** Sends chats until the fleet's time ends: each its next request soon after the last has ended. */
 export class VirtualChats {
   /** Requests that were answered. */
   answered = 0;
-  private count = 0;
+  private sentCount = 0;
   private readonly exchanges = { last: 0 };
 
   private constructor(private readonly fleet: VirtualOwners) {}
@@ -36,24 +36,24 @@
    * @param count Number of chats. */
   static create(fleet: VirtualOwners, count: number): VirtualChats {
     const chats = new VirtualChats(fleet);
-    for (let index = 0; index < count; index++) chats.next();
+    for (let index = 0; index < count; index++) chats.scheduleNext();
     return chats;
   }
 
-  private next(): void {
+  private scheduleNext(): void {
     const { random, timeline, routers } = this.fleet;
-    timeline.after(random.integer(...PAUSE_MS), () => {
+    timeline.after(random.integer(...THINK_TIME_MS), () => {
       const running = routers.filter((one) => one.state === "running");
-      if (running.length === 0) return this.next();
-      this.count += 1;
+      if (running.length === 0) return this.scheduleNext();
+      this.sentCount += 1;
       this.offer({
-        id: `q${this.count}`,
+        id: `q${this.sentCount}`,
         entry: random.pick(running),
         silent: new Set(),
         retried: new Set(),
         namedOwners: new Map(),
-        heldBy: false,
-        tries: 0,
+        mayBeRunning: false,
+        attempts: 0,
       });
     });
   }
@@ -61,8 +61,8 @@
   private offer(progress: ChatRequest): void {
     const { entry, silent } = progress;
     const named = progress.namedOwners.get(ENGINE_ID);
-    progress.tries += 1;
-    if (progress.tries > OWNERS_PER_UPSTREAM) return this.next();
+    progress.attempts += 1;
+    if (progress.attempts > MAX_ATTEMPTS) return this.scheduleNext();
     const [engine] = entry.view.upstreams;
     const usable = entry.placement.getOwners(engine!).filter((id) =>
       !silent.has(id)
@@ -81,17 +81,17 @@
     let isAccepted = false;
     this.exchanges.last += 1;
     const exchange = this.exchanges.last;
-    const lose = () => {
+    const abandon = () => {
       if (isOver) return;
       isOver = true;
-      owner.onClosed.delete(lose);
+      owner.closeHandlers.delete(abandon);
       progress.silent.add(owner.id);
-      progress.heldBy ||= isAccepted;
+      progress.mayBeRunning ||= isAccepted;
       if (owner.state !== "dead") {
         fleet.runAt(
           owner,
-          fleet.drawDelivery(),
-          () => owner.scheduler.takeReply(port, { type: "cancel", exchange }),
+          fleet.drawDeliveryDelay(),
+          () => owner.scheduler.handleReply(port, { type: "cancel", exchange }),
         );
       }
       fleet.timeline.after(
@@ -100,7 +100,7 @@
       );
     };
     const port = createPort(entry.id, (frame) => {
-      fleet.timeline.after(fleet.drawDelivery(), () => {
+      fleet.timeline.after(fleet.drawDeliveryDelay(), () => {
         if (isOver) return;
         isAnswered = true;
         if (frame.type === "accepted") {
@@ -109,34 +109,34 @@
         }
         if (frame.type !== "declined" && frame.type !== "end") return;
         isOver = true;
-        owner.onClosed.delete(lose);
-        if (frame.type === "declined") this.takeDecline(progress, owner, frame);
+        owner.closeHandlers.delete(abandon);
+        if (frame.type === "declined") this.onDeclined(progress, owner, frame);
         else {
           this.answered += 1;
-          this.next();
+          this.scheduleNext();
         }
       });
     });
-    if (owner.state === "dead") return lose();
-    owner.onClosed.add(lose);
+    if (owner.state === "dead") return abandon();
+    owner.closeHandlers.add(abandon);
     const offer = buildOffer({
       exchange,
       requestId: progress.id,
       mayQueue: fleet.random.fraction() < 0.5,
       avoids: [...progress.silent],
-      resumes: progress.heldBy,
+      resumes: progress.mayBeRunning,
     });
     fleet.runAt(
       owner,
-      fleet.drawDelivery(),
-      () => owner.scheduler.takeOffer(port, offer),
+      fleet.drawDeliveryDelay(),
+      () => owner.scheduler.handleOffer(port, offer),
     );
     fleet.timeline.after(ACCEPT_TIMEOUT_MS, () => {
-      if (!isAnswered) lose();
+      if (!isAnswered) abandon();
     });
   }
 
-  private takeDecline(
+  private onDeclined(
     progress: ChatRequest,
     owner: VirtualRouter,
     { reason, owner: other }: FrameOf<"declined">,
@@ -144,6 +144,6 @@
     if (other !== "") recordNamedOwner(progress, ENGINE_ID, other);
     if (reason === "stale") progress.silent.add(owner.id);
     if (reason === "moved" || reason === "stale") this.offer(progress);
-    else this.next();
+    else this.scheduleNext();
   }
 }
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -15,25 +15,25 @@
 import { buildHost, ENGINE_ID, ENGINES, REGION } from "./virtual_pool.ts";
 import type { VirtualRouter } from "./virtual_router.ts";
 
-const SILENT = pino({ level: "silent" });
+const SILENT_LOGGER = pino({ level: "silent" });
 /** Delay of the engine's report, in milliseconds. */
-const REPORT_LAG_MS = 300;
+const REPORT_DELAY_MS = 300;
 const SWEEP_INTERVAL_MS = 250;
 /** Least and most time of a message between routers, in milliseconds. */
-const DELIVERY_MS = [1, 30] as const;
+const DELIVERY_DELAY_MS = [1, 30] as const;
 /** Least and most time in which a silent router is suspected, in milliseconds. */
-const SUSPECT_MS = [300, 1_900] as const;
+const SUSPICION_DELAY_MS = [300, 1_900] as const;
 /** Least and most time after which connections to a silent router are given up, in milliseconds. */
-const LOST_MS = [700, 3_500] as const;
+const DISCONNECT_DELAY_MS = [700, 3_500] as const;
 /** Least and most time in which a router that runs again is heard, in milliseconds. */
-const HEARD_MS = [5, 200] as const;
+const RECOVERY_DELAY_MS = [5, 200] as const;
 /** Gap in a router's running from which it notices that it was paused, in milliseconds. */
-const NOTICED_PAUSE_MS = 1_000;
+const PAUSE_THRESHOLD_MS = 1_000;
 /** Fraction of the loads that are lost on their way. */
-const LOST_LOADS = 0.1;
+const LOAD_LOSS_RATE = 0.1;
 
 /** A start of a request on the engine beyond its bound. */
-export interface Breach {
+export interface BoundViolation {
   at: number;
   running: readonly string[];
 }
@@ -42,7 +42,7 @@
 export class VirtualOwners {
   readonly timeline = VirtualTimeline.create();
   readonly routers: VirtualRouter[] = [];
-  readonly breaches: Breach[] = [];
+  readonly violations: BoundViolation[] = [];
   /** Lines that tell what happened, for the message of a failed test. */
   readonly history: string[] = [];
   readonly random: Random;
@@ -54,7 +54,7 @@
     seed: number,
     count: number,
     private readonly limit: number,
-    private readonly lostLoads: number,
+    private readonly lossRate: number,
   ) {
     this.random = Random.create(seed);
     const ids = Array.from({ length: count }, (_, index) => `r-${index}`);
@@ -71,7 +71,7 @@
     seed: number,
     count: number,
     limit: number,
-    lostLoads = LOST_LOADS,
+    lostLoads = LOAD_LOSS_RATE,
   ): VirtualOwners {
     return new VirtualOwners(seed, count, limit, lostLoads);
   }
@@ -93,17 +93,17 @@
    * @param delayMs The delay in milliseconds.
    * @param action The action. */
   runAt(router: VirtualRouter, delayMs: number, action: () => void): void {
-    const { life } = router;
+    const { incarnation: life } = router;
     this.timeline.after(delayMs, () => {
-      if (router.life !== life || router.state === "dead") return;
-      if (router.state === "paused") router.backlog.push(action);
+      if (router.incarnation !== life || router.state === "dead") return;
+      if (router.state === "paused") router.pendingActions.push(action);
       else action();
     });
   }
 
   /** Draws the time of a message between routers. */
-  drawDelivery(): number {
-    return this.random.integer(...DELIVERY_MS);
+  drawDeliveryDelay(): number {
+    return this.random.integer(...DELIVERY_DELAY_MS);
   }
 
   /** Pauses a router; others come to suspect it, and hear it again after it runs.
@@ -111,12 +111,12 @@
    * @param durationMs Time in milliseconds. */
   pause(router: VirtualRouter, durationMs: number): void {
     if (router.state !== "running") return;
-    this.note(`${router.id} paused for ${durationMs}`);
+    this.recordEvent(`${router.id} paused for ${durationMs}`);
     router.state = "paused";
     this.suspect(router, durationMs);
-    const { life } = router;
+    const { incarnation: life } = router;
     this.timeline.after(durationMs, () => {
-      if (router.life === life) this.wake(router, durationMs);
+      if (router.incarnation === life) this.resume(router, durationMs);
     });
   }
 
@@ -125,23 +125,23 @@
    * @param durationMs Time in between, in milliseconds. */
   restart(router: VirtualRouter, durationMs: number): void {
     if (router.state !== "running") return;
-    this.note(`${router.id} killed for ${durationMs}`);
+    this.recordEvent(`${router.id} killed for ${durationMs}`);
     router.state = "dead";
-    router.life += 1;
+    router.incarnation += 1;
     for (const job of [...this.running.keys()]) {
       if (this.running.get(job)!.startsWith(`${router.id}/`)) this.end(job);
     }
-    for (const close of [...router.onClosed]) close();
-    router.onClosed.clear();
+    for (const close of [...router.closeHandlers]) close();
+    router.closeHandlers.clear();
     this.suspect(router, durationMs);
-    this.timeline.after(durationMs, () => this.revive(router));
+    this.timeline.after(durationMs, () => this.finishRestart(router));
   }
 
   /** Lets one router miss another for a while although that runs.
    * @param observer Who misses it.
    * @param other Who is missed.
    * @param durationMs Time in milliseconds. */
-  flap(
+  loseContact(
     observer: VirtualRouter,
     other: VirtualRouter,
     durationMs: number,
@@ -155,7 +155,7 @@
 
   /** Notes what happened, for the message of a failed test.
    * @param line What happened. */
-  note(line: string): void {
+  recordEvent(line: string): void {
     this.history.push(`${this.timeline.read()} ${line}`);
   }
 
@@ -168,9 +168,9 @@
       unavailable: new Set<string>(),
       state: "running",
       isStale: false,
-      backlog: [] as (() => void)[],
-      life: 0,
-      onClosed: new Set<() => void>(),
+      pendingActions: [] as (() => void)[],
+      incarnation: 0,
+      closeHandlers: new Set<() => void>(),
       viewVersion: 0,
     } as VirtualRouter;
     this.refreshView(router);
@@ -182,8 +182,8 @@
     router.loads = LoadBook.create();
     router.registry = UpstreamRegistry.create({
       settings: router.settings,
-      logger: SILENT,
-      audit: AuditTrail.create(10, SILENT),
+      logger: SILENT_LOGGER,
+      audit: AuditTrail.create(10, SILENT_LOGGER),
       loads: router.loads,
       getView: () => router.view,
       getPlacement: () => router.placement,
@@ -193,21 +193,25 @@
     router.scheduler = JobScheduler.create({
       registry: router.registry,
       guard: { isFresh: () => !router.isStale },
-      logger: SILENT,
+      logger: SILENT_LOGGER,
       timeline: this.timeline,
       streamWindowBytes: 1_000,
-      run: (upstream, job) => this.send(router, upstream, job),
+      run: (upstream, job) => this.runJob(router, upstream, job),
       cancel: (_upstream, job) => this.end(job),
-      onLoadGrew: () => this.tellLoads(router),
+      onLoadGrew: () => this.advertiseLoads(router),
     });
   }
 
   private startRouter(router: VirtualRouter): void {
     this.repeat(router, SWEEP_INTERVAL_MS, () => router.scheduler.sweep());
     const { reportIntervalMs } = router.settings.routing;
-    this.repeat(router, reportIntervalMs, () => router.registry.readReports());
+    this.repeat(
+      router,
+      reportIntervalMs,
+      () => router.registry.requestReports(),
+    );
     const { probeIntervalMs } = router.settings.membership;
-    this.repeat(router, probeIntervalMs, () => this.tellLoads(router));
+    this.repeat(router, probeIntervalMs, () => this.advertiseLoads(router));
   }
 
   private repeat(
@@ -222,39 +226,39 @@
     this.runAt(router, this.random.integer(0, intervalMs), run);
   }
 
-  private tellLoads(router: VirtualRouter): void {
+  private advertiseLoads(router: VirtualRouter): void {
     const loads = router.registry.getLoads();
     for (const other of this.routers) {
-      if (other === router || this.random.fraction() < this.lostLoads) continue;
+      if (other === router || this.random.fraction() < this.lossRate) continue;
       this.runAt(
         other,
-        this.drawDelivery(),
-        () => other.registry.takePeerLoads(router.id, loads),
+        this.drawDeliveryDelay(),
+        () => other.registry.recordPeerLoads(router.id, loads),
       );
     }
   }
 
   /** The answer to a probe tells the loads too. */
   private answerProbe(observer: VirtualRouter, prober: VirtualRouter): void {
-    if (this.random.fraction() < this.lostLoads) return;
+    if (this.random.fraction() < this.lossRate) return;
     const loads = observer.registry.getLoads();
     this.runAt(
       prober,
-      this.drawDelivery(),
-      () => prober.registry.takePeerLoads(observer.id, loads),
+      this.drawDeliveryDelay(),
+      () => prober.registry.recordPeerLoads(observer.id, loads),
     );
   }
 
   private readReport(router: VirtualRouter, upstream: OwnedUpstream): void {
     const { pauseCount } = upstream;
-    this.timeline.after(this.drawDelivery(), () => {
-      const asOf = this.timeline.read() - REPORT_LAG_MS;
+    this.timeline.after(this.drawDeliveryDelay(), () => {
+      const asOf = this.timeline.read() - REPORT_DELAY_MS;
       const inFlight = upstream.host.id === ENGINE_ID
-        ? this.getLoadAt(asOf)
+        ? this.getLoadAtTime(asOf)
         : 0;
-      this.runAt(router, this.drawDelivery(), () => {
+      this.runAt(router, this.drawDeliveryDelay(), () => {
         if (upstream.pauseCount !== pauseCount) return;
-        router.scheduler.takeReport(upstream, {
+        router.scheduler.handleReport(upstream, {
           inFlight,
           leaving: false,
           fence: 0,
@@ -263,27 +267,31 @@
     });
   }
 
-  private send(router: VirtualRouter, upstream: OwnedUpstream, job: Job): void {
-    const { life } = router;
+  private runJob(
+    router: VirtualRouter,
+    upstream: OwnedUpstream,
+    job: Job,
+  ): void {
+    const { incarnation: life } = router;
     const { foreign, isOwned } = upstream;
     const detail = `own ${upstream.running.size} foreign ${foreign.load}${
       isOwned ? "" : " not owner"
     } avoids ${job.offer.avoids}${job.offer.resumes ? " resumes" : ""}`;
     this.timeline.after(this.random.integer(0, 5), () => {
-      if (router.life !== life || job.state === "over") return;
+      if (router.incarnation !== life || job.state === "finished") return;
       this.running.set(job, `${router.id}/${job.offer.requestId}`);
-      this.note(`${router.id} starts ${job.offer.requestId}: ${detail}`);
+      this.recordEvent(`${router.id} starts ${job.offer.requestId}: ${detail}`);
       this.recordLoad();
       const loadNow = this.running.size;
       if (loadNow > this.limit) {
-        this.note(`BREACH ${loadNow}`);
+        this.recordEvent(`BREACH ${loadNow}`);
         const running = [...this.running.values()];
-        this.breaches.push({ at: this.timeline.read(), running });
+        this.violations.push({ at: this.timeline.read(), running });
       }
       this.timeline.after(this.random.integer(30, 600), () => {
         if (!this.end(job)) return;
         this.runAt(router, this.random.integer(0, 5), () => {
-          if (job.state === "over") return;
+          if (job.state === "finished") return;
           job.send({ type: "end", chunks: 0, bytes: 0 });
           router.scheduler.finish(upstream, job);
         });
@@ -301,68 +309,68 @@
     this.loadHistory.push([this.timeline.read(), this.running.size]);
   }
 
-  private getLoadAt(at: number): number {
+  private getLoadAtTime(at: number): number {
     return this.loadHistory.findLast(([since]) => since <= at)?.[1] ?? 0;
   }
 
   private suspect(router: VirtualRouter, durationMs: number): void {
-    const { life } = router;
+    const { incarnation: life } = router;
     for (const observer of this.routers) {
       if (observer === router) continue;
-      const afterMs = this.random.integer(...SUSPECT_MS);
+      const afterMs = this.random.integer(...SUSPICION_DELAY_MS);
       if (afterMs >= durationMs) continue;
       this.timeline.after(afterMs, () => {
-        if (router.life === life && router.state !== "running") {
+        if (router.incarnation === life && router.state !== "running") {
           this.setHeard(observer, router.id, false);
         }
       });
     }
-    const lostMs = this.random.integer(...LOST_MS);
+    const lostMs = this.random.integer(...DISCONNECT_DELAY_MS);
     if (durationMs <= lostMs || router.state === "dead") return;
     this.timeline.after(lostMs, () => {
-      if (router.life !== life || router.state !== "paused") return;
-      for (const close of [...router.onClosed]) close();
-      router.onClosed.clear();
+      if (router.incarnation !== life || router.state !== "paused") return;
+      for (const close of [...router.closeHandlers]) close();
+      router.closeHandlers.clear();
     });
   }
 
-  private wake(router: VirtualRouter, pausedMs: number): void {
+  private resume(router: VirtualRouter, pausedMs: number): void {
     router.state = "running";
-    this.note(`${router.id} wakes`);
-    if (pausedMs >= NOTICED_PAUSE_MS) {
+    this.recordEvent(`${router.id} wakes`);
+    if (pausedMs >= PAUSE_THRESHOLD_MS) {
       router.isStale = true;
-      router.registry.notePause();
-      this.runAt(router, this.random.integer(...HEARD_MS), () => {
+      router.registry.handlePause();
+      this.runAt(router, this.random.integer(...RECOVERY_DELAY_MS), () => {
         router.isStale = false;
-        this.note(`${router.id} is fresh`);
+        this.recordEvent(`${router.id} is fresh`);
       });
     }
-    this.beHeard(router);
-    for (const action of router.backlog.splice(0)) action();
+    this.scheduleRecovery(router);
+    for (const action of router.pendingActions.splice(0)) action();
   }
 
-  private beHeard(router: VirtualRouter): void {
-    const { life } = router;
+  private scheduleRecovery(router: VirtualRouter): void {
+    const { incarnation: life } = router;
     for (const observer of this.routers) {
       if (observer === router) continue;
-      this.timeline.after(this.random.integer(...HEARD_MS), () => {
-        if (router.life === life && router.state === "running") {
+      this.timeline.after(this.random.integer(...RECOVERY_DELAY_MS), () => {
+        if (router.incarnation === life && router.state === "running") {
           this.setHeard(observer, router.id, true);
         }
       });
     }
   }
 
-  private revive(router: VirtualRouter): void {
+  private finishRestart(router: VirtualRouter): void {
     router.state = "running";
-    this.note(`${router.id} starts again`);
+    this.recordEvent(`${router.id} starts again`);
     router.isStale = false;
-    router.backlog = [];
+    router.pendingActions = [];
     router.heard = new Set(this.routers.map((one) => one.id));
     this.refreshView(router);
     this.createOwner(router);
     this.startRouter(router);
-    this.beHeard(router);
+    this.scheduleRecovery(router);
   }
 
   private setHeard(
@@ -371,7 +379,9 @@
     isHeard: boolean,
   ): void {
     if (observer.heard.has(id) === isHeard) return;
-    this.note(`${observer.id} ${isHeard ? "hears" : "misses"} ${id}`);
+    this.recordEvent(
+      `${observer.id} ${isHeard ? "hears" : "misses"} ${id}`,
+    );
     if (isHeard) observer.heard.add(id);
     else observer.heard.delete(id);
     this.refreshView(observer);
--- a/tests/owner/virtual_router.ts
+++ b/tests/owner/virtual_router.ts
@@ -19,10 +19,10 @@
   /** Whether it was paused and has heard nobody since. */
   isStale: boolean;
   /** What came in while it was paused. */
-  backlog: (() => void)[];
+  pendingActions: (() => void)[];
   /** Increases with each start. */
-  life: number;
-  onClosed: Set<() => void>;
+  incarnation: number;
+  closeHandlers: Set<() => void>;
   viewVersion: number;
   view: FleetView;
   placement: PlacementTable;
