--- a/src/owner/job.ts
+++ b/src/owner/job.ts
@@ -4,7 +4,7 @@
 import type { QueueItem } from "./fair_queue.ts";
 
 /** State of a job; `claiming` waits for the entry router's permission to send a request that must not run twice. */
-export type JobState = "waiting" | "claiming" | "running" | "finished";
+export type JobState = "waiting" | "claiming" | "running" | "ended";
 
 /** A request that was offered to the owner of its upstream. */
 export class Job implements QueueItem {
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -164,8 +164,8 @@
     this.stopJob(upstream, job);
   }
 
-  /** Sends a granted request, unless this process was paused, so that the grant may be outdated, or the upstream
-   * accepts no new work any more. */
+  /** Sends a granted request, unless this process was paused since, so that the grant may be outdated, or the upstream
+   * no longer accepts work. */
   private handleGrant(upstream: OwnedUpstream, job: Job): void {
     const reason = this.options.guard.isFresh()
       ? undefined
@@ -202,8 +202,8 @@
    * @param upstream The upstream.
    * @param job The job. */
   finish(upstream: OwnedUpstream, job: Job): void {
-    if (job.state === "finished") return;
-    job.state = "finished";
+    if (job.state === "ended") return;
+    job.state = "ended";
     upstream.removeRunning(job, this.now);
     this.jobs.delete(job);
     this.startQueued(upstream);
--- a/src/owner/load_bound.ts
+++ b/src/owner/load_bound.ts
@@ -4,7 +4,7 @@
 export interface LoadBoundInputs {
   /** Guaranteed maximum load, as a multiple of the mean. */
   boundMultiple: number;
-  /** Number of requests that an upstream may carry regardless of the mean. */
+  /** Number of requests that an upstream may have in flight regardless of the mean. */
   minimumCap: number;
   /** Number of requests that the upstream processes concurrently. */
   slots: number;
@@ -31,8 +31,8 @@
  * knowing. */
 export const RESERVED_SLOTS = 1;
 
-/** Chooses the mean from which the bound of a pool is computed: the mean over all upstreams, unless the reachable
- * upstreams could not carry their present load under that bound.
+/** Chooses the mean from which the bound of a pool is computed: the mean over all upstreams, unless its
+ * bound leaves the reachable upstreams too little headroom for their present load.
  * @param means Mean loads of the pool.
  * @param boundMultiple Guaranteed multiple of the mean. */
 export function chooseMean(means: PoolMeans, boundMultiple: number): number {
@@ -42,7 +42,7 @@
     : means.reachable;
 }
 
-/** Computes the maximum number of requests that the owner may let an upstream carry: at most one less than the
+/** Computes the maximum number of requests that the owner allows in flight on an upstream: at most one less than the
  * guaranteed bound, but at least one.
  * @param bound Inputs of the bound. */
 export function computeCap(bound: LoadBoundInputs): number {
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -23,8 +23,8 @@
   sweep: null;
 };
 
-/** The part of a router that owns upstreams: the owner of an upstream decides when requests are sent to it. Offers,
- * replies and reports are processed one at a time by an actor. */
+/** Owns upstreams: it alone decides when a request is sent to one of them. Offers, replies and reports are processed
+ * one at a time by an actor. */
 export class Owner {
   private readonly registry: UpstreamRegistry;
   private readonly scheduler: JobScheduler;
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -161,7 +161,7 @@
     return hasRoom(this.getBoundInputs(upstream), load);
   }
 
-  /** Returns the maximum number of requests that an upstream may carry now.
+  /** Returns the maximum number of requests that an upstream may have in flight now.
    * @param upstream The upstream. */
   getCap(upstream: OwnedUpstream): number {
     return this.describeBound(upstream).cap;
--- a/src/owner/upstream_status.ts
+++ b/src/owner/upstream_status.ts
@@ -9,7 +9,7 @@
   foreign: number;
   /** Queued requests. */
   waiting: number;
-  /** Maximum number of requests that the upstream may carry now. */
+  /** Maximum number of requests that the upstream may have in flight now. */
   cap: number;
   /** Whether the upstream accepts new work. */
   takesWork: boolean;
--- a/tests/owner/build_fleet.ts
+++ b/tests/owner/build_fleet.ts
@@ -6,16 +6,16 @@
 } from "../../src/settings/settings_schema.ts";
 import { MINIMAL_SETTINGS } from "../settings/minimal_settings.ts";
 
-/** Id of the router of these tests. */
+/** Id of the router under test. */
 export const OWN_ID = "r-0";
-/** Routers beside which that router is not the first for the upstream `s-0`. */
+/** Ids of other routers, one of which owns the upstream `s-0` while they are in the fleet. */
 export const OTHER_ROUTERS: readonly string[] = Array.from(
   { length: 20 },
   (_, index) => `r-${index + 1}`,
 );
 
-/** Builds a service with one place that is listed as live.
- * @param port Port that it listens on. */
+/** Builds the host of a service that is listed as live.
+ * @param port Port that the service listens on. */
 export function buildService(port: number): Host {
   return {
     id: "s-0",
@@ -33,7 +33,7 @@
   };
 }
 
-/** Builds the view of a router that hears others.
+/** Builds the fleet view of the router under test, to which all other routers are reachable.
  * @param version Version of the host list.
  * @param upstream The only upstream.
  * @param others Ids of the other routers. */
@@ -51,7 +51,7 @@
   return FleetView.create(OWN_ID, version, routers, [upstream]);
 }
 
-/** Settings of that router, with the defaults where a test needs no others. */
+/** Builds the settings of the router under test, with defaults. */
 export function buildSettings(): Settings {
   return settingsSchema.parse({ ...MINIMAL_SETTINGS, id: OWN_ID });
 }
--- a/tests/owner/build_offer.ts
+++ b/tests/owner/build_offer.ts
@@ -2,9 +2,9 @@
 import type { Frame, FrameOf } from "../../src/peer/frame_schema.ts";
 import { ENGINE_ID } from "./virtual_pool.ts";
 
-/** The entry's end of a connection to a router.
- * @param peerId Router at the other end.
- * @param onFrame Called with each frame that is sent through it. */
+/** Creates a frame port that passes sent frames to a callback and receives none.
+ * @param peerId Id of the router at the other end of the connection.
+ * @param onFrame Called with each frame sent through the port. */
 export function createPort(
   peerId: string,
   onFrame: (frame: Frame) => void,
@@ -20,7 +20,7 @@
 }
 
 /** Builds an offer.
- * @param changes What differs from the first offer of a chat for the engine of the model. */
+ * @param changes Fields that differ from the first offer of a chat to the engine of the simulated pool. */
 export function buildOffer(
   changes: Partial<FrameOf<"offer">>,
 ): FrameOf<"offer"> {
--- a/tests/owner/fair_queue_test.ts
+++ b/tests/owner/fair_queue_test.ts
@@ -9,7 +9,7 @@
   return { customer, partner: "kilima", priority, capacityShare };
 }
 
-test("a customer that surges does not hold up one that is below its share", (t) => {
+test("a customer with a surge of requests does not delay one that is below its share", (t) => {
   const queue = FairQueue.create(100);
   for (let count = 0; count < 4; count++) queue.markStarted(item("surging"));
   for (let count = 0; count < 40; count++) queue.push(item("surging"));
@@ -17,21 +17,21 @@
   t.is(queue.take(8)?.customer, "small");
 });
 
-test("a customer alone may use everything", (t) => {
+test("a customer without competition may use the whole capacity", (t) => {
   const queue = FairQueue.create(100);
   for (let count = 0; count < 10; count++) queue.markStarted(item("alone"));
   queue.push(item("alone"));
   t.is(queue.take(8)?.customer, "alone");
 });
 
-test("of customers below their share the more urgent goes first", (t) => {
+test("among customers below their share the higher priority goes first", (t) => {
   const queue = FairQueue.create(100);
   queue.push(item("later", 3));
   queue.push(item("sooner", 8));
   t.is(queue.take(8)?.customer, "sooner");
 });
 
-test("one customer fills at most half of the queue, and nobody more than all of it", (t) => {
+test("one customer occupies at most half of the queue, and all customers together at most its limit", (t) => {
   const queue = FairQueue.create(10);
   const refusals = Array.from(
     { length: 6 },
--- a/tests/owner/heard_share_test.ts
+++ b/tests/owner/heard_share_test.ts
@@ -2,17 +2,17 @@
 import { ReachableShare } from "../../src/owner/heard_share.ts";
 import { hasRoom } from "../../src/owner/load_bound.ts";
 
-/** An idle pool's only upstream with three places. */
+/** The only upstream of an idle pool, with three slots. */
 const BOUND = { boundMultiple: 2, minimumCap: 4, slots: 3, mean: 0 };
 
-/** Requests that a router starts there, each while the ones before run. */
+/** Returns how many requests a router may have running on that upstream at once. */
 function countStartable(reachableShare: number): number {
   let own = 0;
   while (hasRoom({ ...BOUND, reachableShare }, { own, foreign: 0 })) own += 1;
   return own;
 }
 
-test("a router that missed the other of two for a moment uses one place of three for three seconds", (t) => {
+test("a router that briefly lost contact with the only other one uses one slot of three for three seconds", (t) => {
   const share = ReachableShare.create();
   t.is(countStartable(share.update(1, 0)), 3);
   t.is(countStartable(share.update(0.5, 100)), 1);
--- a/tests/owner/load_book_test.ts
+++ b/tests/owner/load_book_test.ts
@@ -4,21 +4,22 @@
 import { LoadBook, UNREACHABLE_LOAD } from "../../src/owner/load_book.ts";
 import { auditBound } from "../../tools/bound_audit.ts";
 
-/** What settings promise by default, and the age a mean may have; as in the tests with real processes. */
+/** Load bound guaranteed by the default settings, and the maximum age of a mean; as in the tests with real
+ * processes. */
 const GUARANTEE = { multiple: 2, minimum: 4, lagMs: 2_000 };
 const ENGINES = ["e-0", "e-1", "e-2", "e-3"];
 const INITIAL_LOAD = 10;
-/** Lateness of a process beside load: until a report is read, and until a request that was let go reaches its engine. */
+/** Delays of a process on a busy machine: until a report is read, and until a started request reaches its engine. */
 const REPORT_DELAY_MS = 400;
 const START_DELAY_MS = 500;
 
-/** How the load of each engine rose, by one request at a time. */
+/** Load of each engine over time, which rises by one request at a time. */
 const LOAD_INCREASE = Array.from(
   { length: INITIAL_LOAD },
   (_, index): [number, number] => [index - INITIAL_LOAD, index + 1],
 );
 
-/** Starts that a router lets go at a moment, on one engine that has become idle. */
+/** Returns how many requests a router may start at a given time on one engine that has become idle. */
 function countStartable(book: LoadBook, now: number): number {
   const mean = book.getMeans(ENGINES, now).reachable;
   return computeCap({
@@ -30,7 +31,7 @@
   });
 }
 
-test("a mean that is read late, and acted on late, keeps engines to the bound", (t) => {
+test("a mean that is read late and takes effect late keeps engines within the bound", (t) => {
   for (let decidedAt = 0; decidedAt <= 4_000; decidedAt += 50) {
     const book = LoadBook.create();
     if (decidedAt >= REPORT_DELAY_MS) {
@@ -56,8 +57,9 @@
   }
 });
 
-// The mean of those in reach is higher than that of the pool, so that no place was left for a start that the owner does not know of.
-test("a place below the bound stays free while an engine of the pool is out of reach", (t) => {
+// The mean of the reachable engines is higher than that of the pool. When the cap was computed from it, no slot was
+// left for a request that another router starts without the owner knowing.
+test("a slot below the bound stays free while an engine of the pool is unreachable", (t) => {
   const pool = ["e-0", "e-1", "e-2", "e-3", "e-4", "e-5"];
   for (let load = 0; load <= 60; load++) {
     const book = LoadBook.create();
@@ -86,7 +88,7 @@
   }
 });
 
-test("engines that are left alone in reach go on with their load", (t) => {
+test("the bound is computed from the reachable engines if it would otherwise be below their load", (t) => {
   const means = { reachable: 10, all: 10 / 3 };
   t.is(chooseMean(means, GUARANTEE.multiple), means.reachable);
 });
--- a/tests/owner/load_bound_test.ts
+++ b/tests/owner/load_bound_test.ts
@@ -10,39 +10,40 @@
   reachableShare: fc.constant(1),
 });
 
-test("the cap never exceeds the promised multiple of the mean, the minimum or the slots", (t) => {
+test("the cap exceeds neither the guaranteed bound nor the slots", (t) => {
   const property = fc.property(bound, (one) => {
-    const promised = Math.max(
+    const guaranteed = Math.max(
       one.minimumCap,
       Math.ceil(one.boundMultiple * one.mean),
     );
-    return computeCap(one) <= Math.min(promised, one.slots) &&
+    return computeCap(one) <= Math.min(guaranteed, one.slots) &&
       computeCap(one) >= 1;
   });
   t.notThrows(() => fc.assert(property, { seed: 1, numRuns: 2_000 }));
 });
 
-// A second router may start a request unseen; at means of 1.9 to 2 the owner used all four places that are promised.
-test("the cap leaves a place of what is promised for another router", (t) => {
-  const keeps = fc.property(bound, (one) => {
-    const promised = Math.max(
+// Another router may start a request without the owner knowing. At means of 1.9 to 2 the owner used all four slots of
+// the guaranteed bound.
+test("the cap leaves one slot of the guaranteed bound for another router", (t) => {
+  const property = fc.property(bound, (one) => {
+    const guaranteed = Math.max(
       one.minimumCap,
       Math.ceil(one.boundMultiple * one.mean),
     );
-    return computeCap(one) <= Math.max(1, promised - 1);
+    return computeCap(one) <= Math.max(1, guaranteed - 1);
   });
-  t.notThrows(() => fc.assert(keeps, { seed: 4, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 4, numRuns: 2_000 }));
 });
 
-test("sides that do not hear each other together start no more than one side may", (t) => {
+test("both sides of a network partition together start no more than one side may", (t) => {
   const routers = fc.integer({ min: 2, max: 9 });
-  const keeps = fc.property(
+  const property = fc.property(
     bound,
     routers,
     fc.integer({ min: 1, max: 8 }),
     (one, listed, cut) => {
-      const left = Math.min(cut, listed - 1);
-      const sides = [left / listed, (listed - left) / listed];
+      const smaller = Math.min(cut, listed - 1);
+      const sides = [smaller / listed, (listed - smaller) / listed];
       const started = sides.map((reachableShare) => {
         let own = 0;
         while (
@@ -54,15 +55,15 @@
       return started[0]! + started[1]! <= Math.max(2, computeCap(one));
     },
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 2, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 2, numRuns: 2_000 }));
 });
 
 test("an idle upstream may always take one request", (t) => {
-  const keeps = fc.property(
+  const property = fc.property(
     bound,
     fc.double({ min: 0.01, max: 1, noNaN: true }),
     (one, reachableShare) =>
       hasRoom({ ...one, reachableShare }, { own: 0, foreign: 0 }),
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 3, numRuns: 500 }));
+  t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 500 }));
 });
--- a/tests/owner/owned_upstream_test.ts
+++ b/tests/owner/owned_upstream_test.ts
@@ -34,20 +34,20 @@
   });
 }
 
-test("requests from before a pause do not hide those that another router started meanwhile", (t) => {
+test("own requests from before a pause are not subtracted from requests that another router started meanwhile", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   const jobs = startJobs(upstream, 3, 0);
   upstream.recordReport(buildReport(3), 500);
   t.is(upstream.load, 3);
 
-  const wokeAt = 5_000;
-  upstream.handlePause(wokeAt);
-  for (const job of jobs) upstream.removeRunning(job, wokeAt);
-  upstream.recordReport(buildReport(4), wokeAt + 10);
+  const resumedAt = 5_000;
+  upstream.handlePause(resumedAt);
+  for (const job of jobs) upstream.removeRunning(job, resumedAt);
+  upstream.recordReport(buildReport(4), resumedAt + 10);
   t.is(upstream.load, 4);
 });
 
-test("after a pause the load is unknown until a report comes that can't lack what another router started", (t) => {
+test("after a pause the load is unknown until a report is certain to include what another router started", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   upstream.isOwned = true;
   upstream.recordReport(buildReport(0), 0);
@@ -63,11 +63,11 @@
   t.is(upstream.load, 4);
 });
 
-test("a router that takes over counts what the lost owner started and did not tell, though reports lack it", (t) => {
+test("a takeover counts requests that the failed owner started without advertising them, while reports omit them", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
-  const told = 3;
+  const advertised = 3;
   const running = 4;
-  upstream.foreign.beginTakeover(told, 0);
+  upstream.foreign.beginTakeover(advertised, 0);
   t.true(upstream.load >= running);
   upstream.recordReport(buildReport(2), 50);
   t.true(upstream.load >= running);
@@ -75,7 +75,7 @@
   t.is(upstream.load, running);
 });
 
-test("a request that is taken over is not counted twice", (t) => {
+test("a resumed request is not counted twice after a takeover", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   upstream.foreign.beginTakeover(3, 0);
   const before = upstream.load;
@@ -88,7 +88,7 @@
   t.is(upstream.load, before);
 });
 
-test("an upstream of which the lost owner told no request is used at once", (t) => {
+test("an upstream for which the failed owner advertised no load is used at once", (t) => {
   const upstream = OwnedUpstream.create(HOST, LIMITS);
   upstream.foreign.beginTakeover(0, 0);
   t.is(upstream.load, 0);
--- a/tests/owner/owner_test.ts
+++ b/tests/owner/owner_test.ts
@@ -1,6 +1,7 @@
-/** An engine carried five requests where four are allowed, after a router that had owned it was frozen and woke: three were
- * started by the router that owned it again, and two by the one that had owned it meanwhile, from its queue, for it asked
- * who the owner is only as an offer came. Its lines say `running=2 foreign=0 cap=3 isOwned=false`. */
+/** Guards against a former owner that starts queued requests. After an owner was frozen and resumed, its engine had
+ * five requests where four are allowed: three started by that router, which was the owner again, and two by the router
+ * that had been the owner meanwhile. The latter started them from its queue, because it checked the ownership only when
+ * an offer arrived (its log: `running=2 foreign=0 cap=3 isOwned=false`). */
 import { start } from "nact";
 import { pino } from "pino";
 import test from "ava";
@@ -21,11 +22,11 @@
 } from "./build_fleet.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
 
-/** Longer than this test takes, in milliseconds. */
-const TEST_TIMEOUT_MS = 60_000;
-/** Requests that the upstream takes at once. */
+/** A time that does not pass during this test. */
+const LONGER_THAN_TEST_MS = 60_000;
+/** Requests that the upstream processes concurrently. */
 const SLOTS = 2;
-/** Offers; more than that. */
+/** Number of offers; exceeds the slots, so that some are queued. */
 const OFFER_COUNT = 6;
 
 function buildServiceOffer(exchange: number): FrameOf<"offer"> {
@@ -37,11 +38,11 @@
     method: "GET",
     path: "/",
     customer: `c-${exchange}`,
-    remainingMs: TEST_TIMEOUT_MS,
+    remainingMs: LONGER_THAN_TEST_MS,
   });
 }
 
-/** The entry's end of a connection; keeps what the owner sends. */
+/** Creates a port that records the frames sent by the owner. */
 function createRecordingPort() {
   const frames: Frame[] = [];
   const port = createPort("r-9", (frame) => void frames.push(frame));
@@ -50,11 +51,11 @@
   return { port, getAll };
 }
 
-/** An owner that sees the routers it is told. */
+/** Creates an owner whose fleet view is set by the test. */
 function createOwner(upstream: Host) {
   const logger = pino({ level: "silent" });
   let view = buildView(1, upstream, []);
-  const guard = PauseGuard.create(TEST_TIMEOUT_MS, () => undefined);
+  const guard = PauseGuard.create(LONGER_THAN_TEST_MS, () => undefined);
   guard.markHeard();
   const owner = Owner.create({
     settings: buildSettings(),
@@ -73,12 +74,12 @@
     guard.close();
     await owner.close();
   };
-  return { owner, see: setOtherRouters, close };
+  return { owner, setOtherRouters, close };
 }
 
-test("what waits at a router that owns the upstream no more goes to the one that does", async (t) => {
-  const service = await FakeService.create({ callMs: TEST_TIMEOUT_MS });
-  const { owner, see, close } = createOwner({
+test("requests queued at a router that no longer owns the upstream are redirected to the new owner", async (t) => {
+  const service = await FakeService.create({ callMs: LONGER_THAN_TEST_MS });
+  const { owner, setOtherRouters, close } = createOwner({
     ...buildService(service.port),
     slots: SLOTS,
   });
@@ -87,14 +88,14 @@
     owner.offer(port, buildServiceOffer(exchange));
   }
   await waitUntil(
-    "all are accepted",
+    "all offers are accepted",
     () => getAll("accepted").length === OFFER_COUNT,
   );
   const waiting = getAll("accepted").filter(({ queued }) => queued);
   t.true(waiting.length > 0);
-  see(OTHER_ROUTERS);
+  setOtherRouters(OTHER_ROUTERS);
   await waitUntil(
-    "they are told",
+    "the queued requests are declined",
     () => getAll("declined").length === waiting.length,
   );
   for (const { reason, owner: other } of getAll("declined")) {
--- a/tests/owner/owners_model_test.ts
+++ b/tests/owner/owners_model_test.ts
@@ -1,6 +1,7 @@
-/** Owners, their entries and an engine in virtual time, with beliefs that come late or are wrong for a time. Before routers
- * that are not the owner were limited to one request, an engine that may carry four got five after its owner was frozen:
- * `r-4 starts q51: own 2 foreign 0 not owner avoids r-1` beside three starts of the owner. */
+/** Simulates owners, entry routers and an engine in virtual time, with fleet views that are outdated or wrong for a
+ * time. Guards against load above the bound. Before routers that are not the owner were limited to one request, an
+ * engine that may have four in flight got five after its owner was frozen: three started by the owner, and two by a
+ * router that was not the owner (`r-4 starts q51: own 2 foreign 0 not owner avoids r-1`). */
 import test from "ava";
 import { hashText } from "../../src/hashing/hasher.ts";
 import { REPORT_CATCH_UP_MS } from "../../src/owner/foreign_load.ts";
@@ -9,24 +10,24 @@
 import { VirtualOwners } from "./virtual_owners.ts";
 import { ENGINE_ID } from "./virtual_pool.ts";
 
-/** Requests that an engine may carry while the others of its pool are idle. */
+/** Requests that an engine may have in flight while the other engines of its pool are idle. */
 const ENGINE_LIMIT = 4;
 const ROUTER_COUNT = 5;
 const CHAT_COUNT = 10;
 const SEED_COUNT = 150;
-/** Least and most time at which the fault begins, in milliseconds. */
+/** Range of the time at which the fault is injected. */
 const FAULT_AT_MS = [2_000, 3_000] as const;
-/** Time at which the run ends, in milliseconds. */
+/** Time at which the simulation ends. */
 const END_MS = 12_000;
-/** Load that a lost owner had told, and requests of it that are resumed. */
+/** Load that a failed owner had advertised; as many of its requests are resumed. */
 const ADVERTISED_LOAD = 6;
-/** Time after which each router has noticed that the owner is silent, in milliseconds. */
+/** Time after which every router has detected that the owner is silent. */
 const DETECTION_MS = 2_200;
-/** Events that a failed test prints. */
+/** Number of last events that a failed test prints. */
 const PRINTED_EVENT_COUNT = 40;
 
 const FAULTS: Record<string, (fleet: VirtualOwners) => void> = {
-  "its owner is frozen and wakes": (fleet) => {
+  "its owner is frozen and resumes": (fleet) => {
     const [owner] = fleet.ownersInOrder;
     fleet.pause(owner!, fleet.random.integer(200, 6_000));
   },
@@ -40,11 +41,11 @@
       () => fleet[fault](next!, random.integer(200, 3_000)),
     );
   },
-  "its owner is killed and comes back": (fleet) => {
+  "its owner is killed and restarts": (fleet) => {
     const [owner] = fleet.ownersInOrder;
     fleet.restart(owner!, fleet.random.integer(200, 5_000));
   },
-  "some routers miss its owner for a moment": (fleet) => {
+  "some routers briefly lose contact with its owner": (fleet) => {
     const { random, timeline, routers } = fleet;
     const [owner] = fleet.ownersInOrder;
     for (let count = 0; count < 3; count++) {
@@ -62,7 +63,7 @@
 };
 
 for (const [name, inject] of Object.entries(FAULTS)) {
-  test(`no engine of the model carries more than it may while ${name}`, (t) => {
+  test(`no simulated engine exceeds its load bound while ${name}`, (t) => {
     for (let seed = 0; seed < SEED_COUNT; seed++) {
       const fleet = VirtualOwners.create(seed, ROUTER_COUNT, ENGINE_LIMIT);
       const chats = VirtualChats.create(fleet, CHAT_COUNT);
@@ -76,9 +77,10 @@
   });
 }
 
-// A router counted eight requests as left running by a lost owner, of which none ran any more, and started seven resumed ones for
-// them: `resumes=true running=7 foreign=2 cap=5` on an engine that may carry four.
-test("requests of a lost owner are resumed within the bound where the engine carries them no more", (t) => {
+// A router assumed that a failed owner had left eight requests running, although none of them ran any more, and started
+// seven resumed requests in their place: `resumes=true running=7 foreign=2 cap=5` on an engine that may have four in
+// flight.
+test("requests of a failed owner are resumed within the bound if the engine no longer runs them", (t) => {
   for (let seed = 0; seed < SEED_COUNT; seed++) {
     const fleet = VirtualOwners.create(seed, ROUTER_COUNT, ENGINE_LIMIT);
     const [owner, next] = fleet.ownersInOrder;
@@ -104,9 +106,9 @@
   }
 });
 
-// Routers that waited for what others told told nothing themselves, so that all engines were held for the longest time and then
-// used at once: five starts within 50 ms on an engine that may carry four.
-test("a fleet that starts does not hold its engines back until their reports", (t) => {
+// Routers that waited for the loads advertised by others advertised none themselves, so that all engines were held back
+// for the maximum time and then used at once: five starts within 50 ms on an engine that may have four in flight.
+test("a starting fleet uses its engines before reports are complete", (t) => {
   for (let seed = 0; seed < SEED_COUNT; seed++) {
     const fleet = VirtualOwners.create(seed, ROUTER_COUNT, ENGINE_LIMIT, 0);
     VirtualChats.create(fleet, CHAT_COUNT);
--- a/tests/owner/told_loads_test.ts
+++ b/tests/owner/told_loads_test.ts
@@ -5,22 +5,25 @@
   getMaximumUnadvertised,
 } from "../../src/owner/told_loads.ts";
 
-test("an upstream's load never exceeds what was told by as much as a new owner counts for it", (t) => {
+test("an upstream's load exceeds the advertised load by less than a new owner assumes", (t) => {
   const changes = fc.array(fc.array(fc.nat({ max: 40 }), {
     minLength: 3,
     maxLength: 3,
   }));
   fc.assert(
     fc.property(changes, (rounds) => {
-      const toldLoads = AdvertisedLoads.create();
-      let told = [0, 0, 0];
+      const advertisedLoads = AdvertisedLoads.create();
+      let advertised = [0, 0, 0];
       for (const loads of rounds) {
-        const isTold = toldLoads.update(
+        const isAdvertised = advertisedLoads.update(
           loads.map((load, index) => ({ upstreamId: `e-${index}`, load })),
         );
-        if (isTold) told = loads;
+        if (isAdvertised) advertised = loads;
         loads.forEach((load, index) => {
-          t.true(load - told[index]! < getMaximumUnadvertised(told[index]!));
+          t.true(
+            load - advertised[index]! <
+              getMaximumUnadvertised(advertised[index]!),
+          );
         });
       }
     }),
@@ -28,13 +31,13 @@
   );
 });
 
-test("one upstream's growth is told though another's load fell by as much", (t) => {
-  const toldLoads = AdvertisedLoads.create();
-  const note = (a: number, b: number) =>
-    toldLoads.update([
+test("the growth of one upstream is advertised even if another's load fell by as much", (t) => {
+  const advertisedLoads = AdvertisedLoads.create();
+  const update = (a: number, b: number) =>
+    advertisedLoads.update([
       { upstreamId: "a", load: a },
       { upstreamId: "b", load: b },
     ]);
-  t.true(note(6, 0));
-  t.true(note(2, 4));
+  t.true(update(6, 0));
+  t.true(update(2, 4));
 });
--- a/tests/owner/upstream_registry_test.ts
+++ b/tests/owner/upstream_registry_test.ts
@@ -14,13 +14,14 @@
 } from "./build_fleet.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
 
-/** Nothing listens at its port. */
+/** An upstream on whose port nothing listens. */
 const UPSTREAM = buildService(1);
 
-/** A router beside which the router of these tests is the first for the upstream. */
+/** A router next to which the router under test is the owner of the upstream. */
 const FORMER_OWNER_ID = "r-3";
 
-/** A registry of a router that sees the routers it is told, and owns the upstream where it sees none but itself. */
+/** Creates a registry whose fleet view is set by the test. Its router owns the upstream if the view contains no
+ * other. */
 function createRegistry() {
   const logger = pino({ level: "silent" });
   let view = buildView(1, UPSTREAM, []);
@@ -37,38 +38,39 @@
     view = buildView(view.version + 1, UPSTREAM, others);
     registry.refresh();
   };
-  return { registry, see: setOtherRouters };
+  return { registry, setOtherRouters };
 }
 
-test("a router that stops owning an upstream for a moment still knows what it asked for", async (t) => {
-  const { registry, see } = createRegistry();
-  see([]);
+test("a router that briefly loses the ownership of an upstream keeps its backoff", async (t) => {
+  const { registry, setOtherRouters } = createRegistry();
+  setOtherRouters([]);
   const notice = { backoffMs: 60_000, isLeaving: false };
   registry.getUpstream(UPSTREAM.id)!.client.availability.note(
     notice,
     performance.now(),
   );
-  see(OTHER_ROUTERS);
+  setOtherRouters(OTHER_ROUTERS);
   t.false(registry.getUpstream(UPSTREAM.id)!.isOwned);
   registry.refresh();
-  see([]);
+  setOtherRouters([]);
   t.true(registry.getUpstream(UPSTREAM.id)!.isOwned);
   t.true(registry.getUpstream(UPSTREAM.id)!.backoffMs > 0);
   await registry.close();
 });
 
-/** Counts one more request as running on the upstream. */
+/** Adds one more running job to the upstream. */
 function addRunningJob(registry: UpstreamRegistry): void {
   const port = createPort("entry", () => undefined);
   const job = Job.create(port, buildOffer({}), 0, 1_000);
   registry.getUpstream(UPSTREAM.id)!.addRunning(job, performance.now());
 }
 
-// A router that came back started up to its bound beside the requests of the router that had owned the engine meanwhile.
-test("a router that joins starts one request at a time until the former owner has told its load", async (t) => {
-  const { registry, see } = createRegistry();
+// A router that rejoined started requests up to its bound, in addition to those of the router that had owned the engine
+// meanwhile.
+test("a router that joins starts one request at a time until the former owner has advertised its load", async (t) => {
+  const { registry, setOtherRouters } = createRegistry();
   const getUpstream = () => registry.getUpstream(UPSTREAM.id)!;
-  see([FORMER_OWNER_ID]);
+  setOtherRouters([FORMER_OWNER_ID]);
   t.true(getUpstream().isOwned);
   t.true(registry.hasRoom(getUpstream()));
   addRunningJob(registry);
@@ -78,9 +80,9 @@
   await registry.close();
 });
 
-test("the load that a former owner tells counts as foreign until reports show it", async (t) => {
-  const { registry, see } = createRegistry();
-  see([FORMER_OWNER_ID]);
+test("the load that a former owner advertises counts as foreign until reports include it", async (t) => {
+  const { registry, setOtherRouters } = createRegistry();
+  setOtherRouters([FORMER_OWNER_ID]);
   registry.recordPeerLoads(FORMER_OWNER_ID, [[hashText(UPSTREAM.id), 3]]);
   const upstream = registry.getUpstream(UPSTREAM.id)!;
   t.true(upstream.foreign.load >= 3);
--- a/tests/owner/virtual_chats.ts
+++ b/tests/owner/virtual_chats.ts
@@ -1,4 +1,4 @@
-/** Chats that come back to one engine through routers in virtual time. */
+/** Simulates, in virtual time, chats that repeatedly send requests to one engine through entry routers. */
 import {
   type Progress,
   recordNamedOwner,
@@ -9,22 +9,25 @@
 import { ENGINE_ID } from "./virtual_pool.ts";
 import type { VirtualRouter } from "./virtual_router.ts";
 
+/** Time within which an owner must answer an offer. */
 const ACCEPT_TIMEOUT_MS = 700;
 const MAX_ATTEMPTS = 3;
+/** Range of the time between the end of a request of a chat and the next request. */
 const THINK_TIME_MS = [5, 60] as const;
 
-/** One request of a chat, as its entry knows it. */
+/** The state of one request of a chat at its entry router. */
 interface ChatRequest
   extends Pick<Progress, "silent" | "retried" | "namedOwners"> {
   id: string;
   entry: VirtualRouter;
+  /** Whether the engine may still run the request for a failed owner. */
   mayBeRunning: boolean;
   attempts: number;
 }
 
-/** Sends chats until the fleet's time ends: each its next request soon after the last has ended. */
+/** Runs chats until the simulation ends; each sends its next request soon after the previous one has ended. */
 export class VirtualChats {
-  /** Requests that were answered. */
+  /** Number of answered requests. */
   answered = 0;
   private sentCount = 0;
   private readonly exchanges = { last: 0 };
@@ -32,7 +35,7 @@
   private constructor(private readonly fleet: VirtualOwners) {}
 
   /** Starts chats.
-   * @param fleet The routers.
+   * @param fleet The simulated routers.
    * @param count Number of chats. */
   static create(fleet: VirtualOwners, count: number): VirtualChats {
     const chats = new VirtualChats(fleet);
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -1,4 +1,4 @@
-/** Routers that own upstreams, an engine and callers in virtual time. */
+/** Simulates, in virtual time, routers that own upstreams, and an engine. */
 import { pino } from "pino";
 import { AuditTrail } from "../../src/audit/audit_trail.ts";
 import type { Job } from "../../src/owner/job.ts";
@@ -16,37 +16,39 @@
 import type { VirtualRouter } from "./virtual_router.ts";
 
 const SILENT_LOGGER = pino({ level: "silent" });
-/** Delay of the engine's report, in milliseconds. */
+/** Delay with which the engine's report reflects its load. */
 const REPORT_DELAY_MS = 300;
+/** Interval of the schedulers' sweeps, as in a real router. */
 const SWEEP_INTERVAL_MS = 250;
-/** Least and most time of a message between routers, in milliseconds. */
+/** Range of the delivery delay of messages between routers. */
 const DELIVERY_DELAY_MS = [1, 30] as const;
-/** Least and most time in which a silent router is suspected, in milliseconds. */
+/** Range of the time after which a silent router is suspected. */
 const SUSPICION_DELAY_MS = [300, 1_900] as const;
-/** Least and most time after which connections to a silent router are given up, in milliseconds. */
+/** Range of the time after which connections to a silent router are closed. */
 const DISCONNECT_DELAY_MS = [700, 3_500] as const;
-/** Least and most time in which a router that runs again is heard, in milliseconds. */
+/** Range of the time after which a router that runs again is reachable. */
 const RECOVERY_DELAY_MS = [5, 200] as const;
-/** Gap in a router's running from which it notices that it was paused, in milliseconds. */
+/** Length from which a router detects its own pause. */
 const PAUSE_THRESHOLD_MS = 1_000;
-/** Fraction of the loads that are lost on their way. */
+/** Fraction of the load advertisements that are lost. */
 const LOAD_LOSS_RATE = 0.1;
 
-/** A start of a request on the engine beyond its bound. */
+/** The start of a request on the engine that exceeded its load bound. */
 export interface BoundViolation {
   at: number;
   running: readonly string[];
 }
 
-/** Routers in virtual time; what each believes of the others comes late, by chance, and may be wrong for a time. */
+/** A simulated fleet of routers. Each router's view of the others is updated after random delays and may be wrong for a
+ * time. */
 export class VirtualOwners {
   readonly timeline = VirtualTimeline.create();
   readonly routers: VirtualRouter[] = [];
   readonly violations: BoundViolation[] = [];
-  /** Lines that tell what happened, for the message of a failed test. */
+  /** Log of events, for the message of a failed test. */
   readonly history: string[] = [];
   readonly random: Random;
-  /** Requests that run on the engine, as `router/request`. */
+  /** Jobs running on the engine, labelled `router/request`. */
   private readonly running = new Map<Job, string>();
   private readonly loadHistory: [at: number, load: number][] = [[0, 0]];
 
@@ -62,21 +64,21 @@
     for (const router of this.routers) this.startRouter(router);
   }
 
-  /** Starts routers that hear each other.
-   * @param seed Source of all delays.
+  /** Starts routers that are all reachable to each other.
+   * @param seed Seed of the random numbers for all delays.
    * @param count Number of routers.
-   * @param limit Requests that the engine may carry.
-   * @param lostLoads Fraction of the told loads that are lost. */
+   * @param limit Requests that the engine may have in flight.
+   * @param lossRate Fraction of the load advertisements that are lost. */
   static create(
     seed: number,
     count: number,
     limit: number,
-    lostLoads = LOAD_LOSS_RATE,
+    lossRate = LOAD_LOSS_RATE,
   ): VirtualOwners {
-    return new VirtualOwners(seed, count, limit, lostLoads);
+    return new VirtualOwners(seed, count, limit, lossRate);
   }
 
-  /** The routers in the order in which they own the engine, as one that hears all sees it. */
+  /** The routers in their order as owners of the engine, if all are reachable. */
   get ownersInOrder(): VirtualRouter[] {
     const all = this.routers.map((router) => router.id);
     const view = this.buildView(this.routers[0]!, new Set(all), new Set());
@@ -88,46 +90,47 @@
     return this.routers.find((router) => router.id === id)!;
   }
 
-  /** Runs something at a router after a delay: later where it is paused, never where it has ended.
+  /** Runs an action at a router after a delay. If the router is then paused, the action is postponed; if it has been
+   * killed or restarted, the action is dropped.
    * @param router The router.
-   * @param delayMs The delay in milliseconds.
+   * @param delayMs Delay in milliseconds.
    * @param action The action. */
   runAt(router: VirtualRouter, delayMs: number, action: () => void): void {
-    const { incarnation: life } = router;
+    const { generation } = router;
     this.timeline.after(delayMs, () => {
-      if (router.incarnation !== life || router.state === "dead") return;
+      if (router.generation !== generation || router.state === "dead") return;
       if (router.state === "paused") router.pendingActions.push(action);
       else action();
     });
   }
 
-  /** Draws the time of a message between routers. */
+  /** Draws a random delivery delay for a message between routers. */
   drawDeliveryDelay(): number {
     return this.random.integer(...DELIVERY_DELAY_MS);
   }
 
-  /** Pauses a router; others come to suspect it, and hear it again after it runs.
+  /** Pauses a router. Others come to suspect it, and it becomes reachable again after it has resumed.
    * @param router The router.
-   * @param durationMs Time in milliseconds. */
+   * @param durationMs Duration in milliseconds. */
   pause(router: VirtualRouter, durationMs: number): void {
     if (router.state !== "running") return;
     this.recordEvent(`${router.id} paused for ${durationMs}`);
     router.state = "paused";
     this.suspect(router, durationMs);
-    const { incarnation: life } = router;
+    const { generation } = router;
     this.timeline.after(durationMs, () => {
-      if (router.incarnation === life) this.resume(router, durationMs);
+      if (router.generation === generation) this.resume(router, durationMs);
     });
   }
 
-  /** Ends a router and starts it again.
+  /** Kills a router and starts it again.
    * @param router The router.
-   * @param durationMs Time in between, in milliseconds. */
+   * @param durationMs Downtime in milliseconds. */
   restart(router: VirtualRouter, durationMs: number): void {
     if (router.state !== "running") return;
     this.recordEvent(`${router.id} killed for ${durationMs}`);
     router.state = "dead";
-    router.incarnation += 1;
+    router.generation += 1;
     for (const job of [...this.running.keys()]) {
       if (this.running.get(job)!.startsWith(`${router.id}/`)) this.end(job);
     }
@@ -137,10 +140,10 @@
     this.timeline.after(durationMs, () => this.finishRestart(router));
   }
 
-  /** Lets one router miss another for a while although that runs.
-   * @param observer Who misses it.
-   * @param other Who is missed.
-   * @param durationMs Time in milliseconds. */
+  /** Makes a running router unreachable to another router for a time.
+   * @param observer Router that loses contact.
+   * @param other Router that becomes unreachable.
+   * @param durationMs Duration in milliseconds. */
   loseContact(
     observer: VirtualRouter,
     other: VirtualRouter,
@@ -153,8 +156,8 @@
     });
   }
 
-  /** Notes what happened, for the message of a failed test.
-   * @param line What happened. */
+  /** Adds an event to the log, for the message of a failed test.
+   * @param line Description of the event. */
   recordEvent(line: string): void {
     this.history.push(`${this.timeline.read()} ${line}`);
   }
@@ -169,7 +172,7 @@
       state: "running",
       isStale: false,
       pendingActions: [] as (() => void)[],
-      incarnation: 0,
+      generation: 0,
       closeHandlers: new Set<() => void>(),
       viewVersion: 0,
     } as VirtualRouter;
@@ -238,7 +241,7 @@
     }
   }
 
-  /** The answer to a probe tells the loads too. */
+  /** Delivers the loads that an answer to a probe advertises. */
   private answerProbe(observer: VirtualRouter, prober: VirtualRouter): void {
     if (this.random.fraction() < this.lossRate) return;
     const loads = observer.registry.getLoads();
@@ -272,26 +275,26 @@
     upstream: OwnedUpstream,
     job: Job,
   ): void {
-    const { incarnation: life } = router;
+    const { generation } = router;
     const { foreign, isOwned } = upstream;
     const detail = `own ${upstream.running.size} foreign ${foreign.load}${
       isOwned ? "" : " not owner"
     } avoids ${job.offer.avoids}${job.offer.resumes ? " resumes" : ""}`;
     this.timeline.after(this.random.integer(0, 5), () => {
-      if (router.incarnation !== life || job.state === "finished") return;
+      if (router.generation !== generation || job.state === "ended") return;
       this.running.set(job, `${router.id}/${job.offer.requestId}`);
       this.recordEvent(`${router.id} starts ${job.offer.requestId}: ${detail}`);
       this.recordLoad();
       const loadNow = this.running.size;
       if (loadNow > this.limit) {
-        this.recordEvent(`BREACH ${loadNow}`);
+        this.recordEvent(`VIOLATION ${loadNow}`);
         const running = [...this.running.values()];
         this.violations.push({ at: this.timeline.read(), running });
       }
       this.timeline.after(this.random.integer(30, 600), () => {
         if (!this.end(job)) return;
         this.runAt(router, this.random.integer(0, 5), () => {
-          if (job.state === "finished") return;
+          if (job.state === "ended") return;
           job.send({ type: "end", chunks: 0, bytes: 0 });
           router.scheduler.finish(upstream, job);
         });
@@ -314,13 +317,13 @@
   }
 
   private suspect(router: VirtualRouter, durationMs: number): void {
-    const { incarnation: life } = router;
+    const { generation } = router;
     for (const observer of this.routers) {
       if (observer === router) continue;
       const afterMs = this.random.integer(...SUSPICION_DELAY_MS);
       if (afterMs >= durationMs) continue;
       this.timeline.after(afterMs, () => {
-        if (router.incarnation === life && router.state !== "running") {
+        if (router.generation === generation && router.state !== "running") {
           this.setHeard(observer, router.id, false);
         }
       });
@@ -328,7 +331,7 @@
     const lostMs = this.random.integer(...DISCONNECT_DELAY_MS);
     if (durationMs <= lostMs || router.state === "dead") return;
     this.timeline.after(lostMs, () => {
-      if (router.incarnation !== life || router.state !== "paused") return;
+      if (router.generation !== generation || router.state !== "paused") return;
       for (const close of [...router.closeHandlers]) close();
       router.closeHandlers.clear();
     });
@@ -336,7 +339,7 @@
 
   private resume(router: VirtualRouter, pausedMs: number): void {
     router.state = "running";
-    this.recordEvent(`${router.id} wakes`);
+    this.recordEvent(`${router.id} resumes`);
     if (pausedMs >= PAUSE_THRESHOLD_MS) {
       router.isStale = true;
       router.registry.handlePause();
@@ -350,11 +353,11 @@
   }
 
   private scheduleRecovery(router: VirtualRouter): void {
-    const { incarnation: life } = router;
+    const { generation } = router;
     for (const observer of this.routers) {
       if (observer === router) continue;
       this.timeline.after(this.random.integer(...RECOVERY_DELAY_MS), () => {
-        if (router.incarnation === life && router.state === "running") {
+        if (router.generation === generation && router.state === "running") {
           this.setHeard(observer, router.id, true);
         }
       });
--- a/tests/owner/virtual_pool.ts
+++ b/tests/owner/virtual_pool.ts
@@ -1,14 +1,14 @@
 import type { Host } from "../../src/configuration_service/host_schema.ts";
 
 export const REGION = "dar";
-/** The engine that requests go to. */
+/** Id of the engine that receives the requests. */
 export const ENGINE_ID = "e-0";
-/** Engines of the pool. */
+/** Number of engines in the pool. */
 const POOL_SIZE = 6;
 
-/** Builds an entry of the list of hosts.
- * @param id Its id.
- * @param role What it is. */
+/** Builds an entry of the host list.
+ * @param id Id of the host.
+ * @param role Role of the host. */
 export function buildHost(id: string, role: "engine" | "router"): Host {
   return {
     id,
--- a/tests/owner/virtual_router.ts
+++ b/tests/owner/virtual_router.ts
@@ -5,23 +5,24 @@
 import type { PlacementTable } from "../../src/placement/placement_table.ts";
 import type { Settings } from "../../src/settings/settings_schema.ts";
 
-/** A router of the model. */
+/** State of a simulated router. */
 export interface VirtualRouter {
   id: string;
   settings: Settings;
   scheduler: JobScheduler;
   registry: UpstreamRegistry;
   loads: LoadBook;
-  /** Routers that it hears, itself included. */
+  /** Ids of the routers that it can reach, including itself. */
   heard: Set<string>;
   unavailable: Set<string>;
   state: "running" | "paused" | "dead";
-  /** Whether it was paused and has heard nobody since. */
+  /** Whether it was paused and has not heard from another router since. */
   isStale: boolean;
-  /** What came in while it was paused. */
+  /** Actions that were postponed while it was paused. */
   pendingActions: (() => void)[];
-  /** Increases with each start. */
-  incarnation: number;
+  /** Incremented when it is killed, so that actions of an earlier start are dropped. */
+  generation: number;
+  /** Called when the connections to it are closed. */
   closeHandlers: Set<() => void>;
   viewVersion: number;
   view: FleetView;
