--- a/src/admission/popularity.ts
+++ b/src/admission/popularity.ts
@@ -1,34 +1,34 @@
 import { ArrivalRate } from "./arrival_rate.ts";
-import { useEntry } from "./use_entry.ts";
+import { getOrCreateLruEntry } from "./lru_entry.ts";
 
-/** Recent requests for a prompt at one host from which on the prompt counts as popular. */
-const POPULAR_COUNT = 0.5;
-/** Prompts that are remembered; the one asked for longest ago gives way. */
-const MAX_PROMPTS = 10_000;
+/** Decayed request count at one host from which a prompt counts as popular. */
+const POPULAR_REQUEST_COUNT = 0.5;
+/** Maximum number of tracked prompts; the least recently requested one is evicted. */
+const MAX_TRACKED_PROMPTS = 10_000;
 
-/** Which prompts this host was asked for more than once lately. */
-export class Popularity {
+/** Tracks which prompts this host has recently received more than one request for. */
+export class PromptPopularity {
   private readonly requests = new Map<number, ArrivalRate>();
 
   private constructor() {}
 
-  /** Creates one that knows no prompts. */
-  static create(): Popularity {
-    return new Popularity();
+  /** Creates an empty tracker. */
+  static create(): PromptPopularity {
+    return new PromptPopularity();
   }
 
-  /** Counts a request for a prompt; returns whether the prompt was popular before it.
-   * @param part Short name of the deepest part that requests share.
+  /** Records a request for a prompt and returns whether the prompt was popular before this request.
+   * @param part Hash of the deepest prompt part that is shared with other requests.
    * @param now Monotonic milliseconds. */
-  noteRequest(part: number, now: number): boolean {
-    const rate = useEntry(
+  recordRequest(part: number, now: number): boolean {
+    const rate = getOrCreateLruEntry(
       this.requests,
       part,
       () => ArrivalRate.create(),
-      MAX_PROMPTS,
+      MAX_TRACKED_PROMPTS,
     );
-    const isPopular = rate.getCount(now) >= POPULAR_COUNT;
-    rate.note(now);
+    const isPopular = rate.getDecayedCount(now) >= POPULAR_REQUEST_COUNT;
+    rate.recordArrival(now);
     return isPopular;
   }
 }
--- a/src/admission/start_probability.ts
+++ b/src/admission/start_probability.ts
@@ -1,59 +1,63 @@
-/** Standard deviations of the unseen change of a load that are kept free below the bound. */
-const RESERVED_DEVIATIONS = 2;
-/** Fraction of the room of an upstream that all hosts together fill until counts are exchanged again. A greater one makes the
- * load overshoot, since the feedback of the counts is delayed. */
-const FILLED_PART = 0.5;
+/** Capacity reserved below the bound, in standard deviations of the load change that this host has not yet learned
+ * of. */
+const RESERVED_STANDARD_DEVIATIONS = 2;
+/** Fraction of an upstream's headroom that all hosts together fill before load counts are exchanged again. A higher
+ * fraction makes the load overshoot, because the feedback from the counts is delayed. */
+const HEADROOM_FILL_FRACTION = 0.5;
 
-/** Requests on an upstream, as a host knows them, and the bound on them. */
+/** Load of an upstream, as known to this host, and its bound. */
 export interface UpstreamLoad {
-  /** Requests that the upstream may hold. */
+  /** Maximum number of requests on the upstream. */
   bound: number;
-  /** Requests of this host. */
+  /** Requests that this host has running on the upstream. */
   own: number;
-  /** Requests that others are taken to have there. */
+  /** Estimated requests of all other hosts on the upstream. */
   foreign: number;
-  /** Mean age of what the others told, in milliseconds. */
+  /** Mean age of the load counts from other hosts, in milliseconds. */
   countAgeMs: number;
 }
 
-/** Requests that all hosts may add to an upstream beside one more of this host until counts are exchanged again; below 0 where
- * this host may not add that one. Other hosts have ended and started requests since their counts, so that a reserve for the
- * deviation is kept.
- * @param load What is known of the upstream.
- * @param heldMeanMs Mean time of the requests held, in milliseconds; undefined where it is not known. */
-export function computeRoom(
+/** Computes how many requests all hosts may add to an upstream, beside one more of this host, until load counts are
+ * exchanged again. Negative if this host may not add that one. Other hosts have completed and started requests since
+ * their counts, so a reserve for the deviation is kept.
+ * @param load Load of the upstream.
+ * @param inFlightMeanMs Mean duration of the requests in flight, in milliseconds; undefined if unknown. */
+export function computeHeadroom(
   load: UpstreamLoad,
-  heldMeanMs: number | undefined,
+  inFlightMeanMs: number | undefined,
 ): number {
   const { bound, own, foreign, countAgeMs } = load;
-  const replaced = foreign * computeEndedPart(countAgeMs, heldMeanMs);
-  const most = bound - own - 1 - foreign + replaced;
-  if (most < 0) return most;
-  // The mean m of a Poisson process with m + deviations * sqrt(m) = most.
-  const half = RESERVED_DEVIATIONS / 2;
-  return (Math.sqrt(half ** 2 + most) - half) ** 2 - replaced;
+  const completed = foreign *
+    computeCompletedFraction(countAgeMs, inFlightMeanMs);
+  const available = bound - own - 1 - foreign + completed;
+  if (available < 0) return available;
+  // Solves m + deviations * sqrt(m) = available for the mean m of a Poisson process.
+  const halfDeviations = RESERVED_STANDARD_DEVIATIONS / 2;
+  return (Math.sqrt(halfDeviations ** 2 + available) - halfDeviations) ** 2 -
+    completed;
 }
 
-/** Probability with which each host starts its requests for popular prompts on an upstream, so that all hosts together fill
- * a part of its room.
- * @param room Room of the upstream.
- * @param unseenStarts Requests for popular prompts that other hosts would start there until counts are exchanged again. */
-export function computeStartProbability(
-  room: number,
+/** Computes the probability with which each host admits its requests for popular prompts to an upstream, so that all
+ * hosts together fill only a fraction of its headroom.
+ * @param headroom Headroom of the upstream.
+ * @param unseenStarts Requests for popular prompts that other hosts would start on the upstream until load counts are
+ * exchanged again. */
+export function computeAdmissionProbability(
+  headroom: number,
   unseenStarts: number,
 ): number {
-  if (room < 0) return 0;
-  const filled = FILLED_PART * room;
-  return filled >= unseenStarts ? 1 : filled / unseenStarts;
+  if (headroom < 0) return 0;
+  const fillable = HEADROOM_FILL_FRACTION * headroom;
+  return fillable >= unseenStarts ? 1 : fillable / unseenStarts;
 }
 
-/** Part of the requests at an upstream that have ended after some time.
- * @param afterMs The time in milliseconds.
- * @param meanMs Mean time of a request in milliseconds; undefined where it is not known. */
-export function computeEndedPart(
-  afterMs: number,
+/** Computes the fraction of the requests on an upstream that have completed after a period.
+ * @param elapsedMs Length of the period in milliseconds.
+ * @param meanMs Mean duration of a request in milliseconds; undefined if unknown. */
+export function computeCompletedFraction(
+  elapsedMs: number,
   meanMs: number | undefined,
 ): number {
-  if (afterMs <= 0) return 0;
-  return meanMs === undefined ? 1 : 1 - Math.exp(-afterMs / meanMs);
+  if (elapsedMs <= 0) return 0;
+  return meanMs === undefined ? 1 : 1 - Math.exp(-elapsedMs / meanMs);
 }
--- a/src/upstream/event_stream_parser.ts
+++ b/src/upstream/event_stream_parser.ts
@@ -4,23 +4,23 @@
   engineEventSchema,
 } from "./engine_event.ts";
 
-const SEPARATOR = "\n\n";
+const EVENT_SEPARATOR = "\n\n";
 const DATA_PREFIX = "data: ";
 
-/** Whole events cut from a stream. */
+/** Complete events parsed from a stream. */
 export interface ParsedEvents {
-  /** The events as they came, separators included. */
+  /** The events as received, including separators. */
   bytes: Buffer;
   events: EngineEvent[];
-  /** Whether the end marker was among them. */
+  /** Whether the end marker has been read. */
   done: boolean;
 }
 
-/** Cuts a stream of server-sent events into whole events and checks that each belongs to one request.
- * Throws where an event names another request, is out of order, or follows the end marker. */
+/** Splits a stream of server-sent events into complete events and checks that each belongs to one request. Throws if an
+ * event names another request, is out of order, or follows the end marker. */
 export class EventStreamParser {
-  private rest = "";
-  private hasEnded = false;
+  private buffered = "";
+  private hasEndMarker = false;
 
   private constructor(
     private readonly requestId: string,
@@ -28,46 +28,54 @@
   ) {}
 
   /** Creates a parser.
-   * @param requestId Id that each event must name.
-   * @param firstIndex Number of the first event expected. */
+   * @param requestId Request id that each event must contain.
+   * @param firstIndex Index of the first expected event. */
   static create(requestId: string, firstIndex: number): EventStreamParser {
     return new EventStreamParser(requestId, firstIndex);
   }
 
-  /** Takes more of the stream.
-   * @param text The next part, cut anywhere between characters.
-   * @returns The events that are whole now. */
+  /** Parses the next chunk of the stream.
+   * @param text The chunk; may start and end anywhere between characters.
+   * @returns The events that this chunk completes. */
   push(text: string): ParsedEvents {
-    const all = this.rest + text;
-    const end = all.lastIndexOf(SEPARATOR);
-    if (end < 0) {
-      this.rest = all;
-      return { bytes: Buffer.alloc(0), events: [], done: this.hasEnded };
+    const pending = this.buffered + text;
+    const lastSeparator = pending.lastIndexOf(EVENT_SEPARATOR);
+    if (lastSeparator < 0) {
+      this.buffered = pending;
+      return {
+        bytes: Buffer.alloc(0),
+        events: [],
+        done: this.hasEndMarker,
+      };
     }
-    const whole = all.slice(0, end + SEPARATOR.length);
-    this.rest = all.slice(end + SEPARATOR.length);
+    const complete = pending.slice(0, lastSeparator + EVENT_SEPARATOR.length);
+    this.buffered = pending.slice(lastSeparator + EVENT_SEPARATOR.length);
     const events: EngineEvent[] = [];
-    for (const line of whole.split(SEPARATOR)) {
+    for (const line of complete.split(EVENT_SEPARATOR)) {
       const event = line === "" ? undefined : this.parseLine(line);
       if (event) events.push(event);
     }
-    return { bytes: Buffer.from(whole), events, done: this.hasEnded };
+    return {
+      bytes: Buffer.from(complete),
+      events,
+      done: this.hasEndMarker,
+    };
   }
 
-  /** Number of the next event expected. */
+  /** Index of the next expected event. */
   get position(): number {
     return this.nextIndex;
   }
 
-  /** Whether the end marker was read. */
+  /** Whether the end marker has been read. */
   get isDone(): boolean {
-    return this.hasEnded;
+    return this.hasEndMarker;
   }
 
   private parseLine(line: string): EngineEvent | undefined {
-    if (this.hasEnded) throw new Error("an event follows the end marker");
+    if (this.hasEndMarker) throw new Error("an event follows the end marker");
     if (line === DONE_LINE) {
-      this.hasEnded = true;
+      this.hasEndMarker = true;
       return undefined;
     }
     if (!line.startsWith(DATA_PREFIX)) {
@@ -82,7 +90,9 @@
       );
     }
     if (event.index !== this.nextIndex) {
-      throw new Error(`event ${event.index} where ${this.nextIndex} is due`);
+      throw new Error(
+        `event ${event.index} where ${this.nextIndex} is due`,
+      );
     }
     this.nextIndex += 1;
     return event;
--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -18,10 +18,10 @@
   models: z.array(z.string()).optional(),
 });
 
-/** What an upstream says of itself. */
+/** Status report of an upstream. */
 export type UpstreamReport = z.infer<typeof reportSchema>;
 
-/** A request as it goes to an upstream. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
   requestId: string;
   method: string;
@@ -30,34 +30,34 @@
   body: Uint8Array;
   priority: number;
   repeatable: boolean;
-  /** Events of the answer that the caller already has. */
+  /** Number of events of the response that the caller already has. */
   resumeFrom: number;
-  /** Names this sending of the request; a later one with the same id takes its stream over. */
+  /** Id of this attempt at the request; a later attempt at the same request takes over its stream. */
   attempt: string;
   signal: AbortSignal;
 }
 
-/** A whole answer of a service. */
-export interface ServiceAnswer {
+/** A complete response of a service. */
+export interface ServiceResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
-/** In every answer of an upstream that leaves. */
-const LEAVING = { name: "x-leaving", value: "true" };
+/** Header in every response of a leaving upstream. */
+const LEAVING_HEADER = { name: "x-leaving", value: "true" };
 const CONNECT_TIMEOUT_MS = 1_000;
 const REPORT_TIMEOUT_MS = 1_000;
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Speaks to one upstream over HTTP; the form of its protocol stands only here. */
+/** HTTP client of one upstream; encapsulates the upstream protocol. */
 export class UpstreamClient {
   private readonly agent: Agent;
   private readonly url: string;
-  /** Told of what the upstream said of whether it takes requests, where that changed. */
+  /** Called when the availability of the upstream has changed. */
   onAvailability: (change: AvailabilityChange) => void = () => undefined;
-  private said = this.createAvailability();
-  private leavingSaidAt = -Infinity;
+  private currentAvailability = this.createAvailability();
+  private leavingSeenAt = -Infinity;
 
   private constructor(host: Host, private readonly stallTimeoutMs: number) {
     this.url = `http://${host.address}:${host.port}`;
@@ -70,40 +70,41 @@
 
   /** Creates a client without connections.
    * @param host The upstream.
-   * @param stallTimeoutMs Silence that counts as failure. */
+   * @param stallTimeoutMs Time without received data after which a request fails, in milliseconds. */
   static create(host: Host, stallTimeoutMs: number): UpstreamClient {
     return new UpstreamClient(host, stallTimeoutMs);
   }
 
-  /** What the upstream said in its answers of whether it takes requests. */
+  /** Whether the upstream accepts requests, according to its responses. */
   get availability(): Availability {
-    return this.said;
+    return this.currentAvailability;
   }
 
-  /** Reads the upstream's report. A report that was asked for after the upstream said it leaves, and doesn't say so, is of
-   * another start of it, which knows nothing of what the one before said.
-   * @throws UpstreamError where it is turned away. */
+  /** Reads the upstream's report. If the upstream announced that it is leaving, and a report that was requested later
+   * does not say so, the report is from another instance, and the availability starts afresh.
+   * @throws UpstreamError if the response status is not 200. */
   async readReport(): Promise<UpstreamReport> {
-    const askedAt = readClock();
+    const requestedAt = readClock();
     const response = await request(`${this.url}/report`, {
       dispatcher: this.agent,
       headersTimeout: REPORT_TIMEOUT_MS,
       bodyTimeout: REPORT_TIMEOUT_MS,
     });
-    this.hear(response);
+    this.recordAvailability(response);
     if (response.statusCode !== 200) throw await this.refused(response);
     const report = reportSchema.parse(await response.body.json());
-    const isOtherStart = this.said.isLeaving && !report.leaving &&
-      response.headers[LEAVING.name] === undefined &&
-      askedAt > this.leavingSaidAt;
-    if (isOtherStart) this.said = this.createAvailability();
+    const isOtherInstance = this.currentAvailability.isLeaving &&
+      !report.leaving &&
+      response.headers[LEAVING_HEADER.name] === undefined &&
+      requestedAt > this.leavingSeenAt;
+    if (isOtherInstance) this.currentAvailability = this.createAvailability();
     return report;
   }
 
-  /** Gives a fenced order; returns whether the upstream took it.
-   * @param fence Revision behind the order; an upstream that checks refuses one below the last.
+  /** Sends a fenced order and returns whether the upstream accepted it.
+   * @param fence Revision that the order is based on; an upstream that checks fences refuses one below the last.
    * @param models Models to serve. */
-  async order(fence: number, models: readonly string[]): Promise<boolean> {
+  async sendOrder(fence: number, models: readonly string[]): Promise<boolean> {
     const response = await request(`${this.url}/orders`, {
       method: "POST",
       dispatcher: this.agent,
@@ -111,14 +112,14 @@
       body: JSON.stringify({ fence, models }),
       headersTimeout: REPORT_TIMEOUT_MS,
     });
-    this.hear(response);
+    this.recordAvailability(response);
     await response.body.dump();
     return response.statusCode === 200;
   }
 
   /** Tells an engine to stop working on a request; failures are ignored.
    * @param requestId The request.
-   * @param attempt The sending to cancel; where another took the stream over, the engine goes on. */
+   * @param attempt Id of the attempt to cancel; if another attempt has taken over the stream, the engine continues. */
   async cancel(requestId: string, attempt: string): Promise<void> {
     const path = `${this.url}/v1/requests/${
       encodeURIComponent(requestId)
@@ -130,13 +131,13 @@
       headersTimeout: REPORT_TIMEOUT_MS,
     })
       .then((response) => {
-        this.hear(response);
+        this.recordAvailability(response);
         return response.body.dump();
       }, () => undefined);
   }
 
-  /** Runs a chat and yields its events as they come; ends only after the engine's end marker.
-   * The body is read to its end, so that the connection serves the next request.
+  /** Runs a chat and yields its events as they arrive; completes only after the engine's end marker. Reads the response
+   * body to its end, so that the connection can be reused.
    * @param work The request. */
   async *streamChat(work: UpstreamRequest): AsyncGenerator<ParsedEvents> {
     const response = await this.send(work, this.agent);
@@ -159,9 +160,9 @@
     }
   }
 
-  /** Calls a service and returns its whole answer.
-   * @param work The request; one that may not be repeated goes over a connection of its own. */
-  async call(work: UpstreamRequest): Promise<ServiceAnswer> {
+  /** Calls a service and returns its complete response.
+   * @param work The request; one that may not be repeated uses a connection of its own. */
+  async call(work: UpstreamRequest): Promise<ServiceResponse> {
     const dispatcher = work.repeatable
       ? this.agent
       : new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS } });
@@ -170,13 +171,13 @@
       if (response.headers["x-not-run"] === "true") {
         throw await this.refused(response);
       }
-      return await this.readAnswer(response, work.requestId);
+      return await this.readResponse(response, work.requestId);
     } finally {
       if (dispatcher !== this.agent) void dispatcher.destroy();
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
@@ -185,20 +186,23 @@
     work: UpstreamRequest,
     dispatcher: Dispatcher,
   ): Promise<Dispatcher.ResponseData> {
-    const { said } = this;
-    if (!said.takesRequests(readClock())) {
-      throw UpstreamError.create("no", "the upstream takes no requests");
+    const { currentAvailability: availability } = this;
+    if (!availability.takesRequests(readClock())) {
+      throw UpstreamError.create(
+        "no",
+        "the upstream takes no requests",
+      );
     }
-    const isTrial = said.beginRequest();
-    let wasTaken = false;
+    const isTrial = availability.beginRequest();
+    let wasAccepted = false;
     try {
       const response = await this.dispatch(work, dispatcher);
-      this.hear(response);
-      wasTaken = response.headers["x-not-run"] !== "true";
-      if (work.signal.aborted) throw discard(response);
+      this.recordAvailability(response);
+      wasAccepted = response.headers["x-not-run"] !== "true";
+      if (work.signal.aborted) throw discardResponse(response);
       return response;
     } finally {
-      if (isTrial) said.endTrial(wasTaken);
+      if (isTrial) availability.endTrial(wasAccepted);
     }
   }
 
@@ -208,12 +212,14 @@
     return availability;
   }
 
-  /** Takes what an answer says beside what it answers. */
-  private hear({ statusCode, headers }: Dispatcher.ResponseData): void {
+  /** Records what a response states about the availability of the upstream. */
+  private recordAvailability(
+    { statusCode, headers }: Dispatcher.ResponseData,
+  ): void {
     const now = readClock();
-    const notice = readAvailabilityNotice(statusCode, headers, LEAVING);
-    if (notice.isLeaving) this.leavingSaidAt = now;
-    this.said.note(notice, now);
+    const notice = readAvailabilityNotice(statusCode, headers, LEAVING_HEADER);
+    if (notice.isLeaving) this.leavingSeenAt = now;
+    this.currentAvailability.note(notice, now);
   }
 
   private async dispatch(
@@ -237,20 +243,23 @@
       headersTimeout: this.stallTimeoutMs,
       bodyTimeout: this.stallTimeoutMs,
     });
-    abort.recordHead();
+    abort.recordResponseHead();
     return response;
   }
 
-  private async readAnswer(
+  private async readResponse(
     response: Dispatcher.ResponseData,
     requestId: string,
-  ): Promise<ServiceAnswer> {
+  ): Promise<ServiceResponse> {
     const body = Buffer.from(await response.body.arrayBuffer());
     if (response.headers["x-request-id"] !== requestId) {
       throw UpstreamError.create("unknown", "the answer names another request");
     }
-    if (body.length > MAX_ANSWER_BYTES) {
-      throw UpstreamError.create("unknown", "the answer exceeds the limit");
+    if (body.length > MAX_RESPONSE_BYTES) {
+      throw UpstreamError.create(
+        "unknown",
+        "the answer exceeds the limit",
+      );
     }
     const contentType = String(
       response.headers["content-type"] ?? "application/octet-stream",
@@ -274,8 +283,8 @@
   }
 }
 
-/** Drops an answer that nobody waits for; returns the error to throw in its place. */
-function discard(response: Dispatcher.ResponseData): UpstreamError {
+/** Discards a response that nobody waits for any more; returns the error to throw instead. */
+function discardResponse(response: Dispatcher.ResponseData): UpstreamError {
   response.body.destroy();
   return UpstreamError.create("unknown", "the request was aborted");
 }
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -6,178 +6,188 @@
 import { logAvailability } from "./log_availability.ts";
 import { Upstream } from "./upstream.ts";
 
-/** Part of the time in which a leaving upstream may get work for which one that disappeared just after an outage of the
- * platform is used at most: entries that lapsed meanwhile come back within two seconds. */
-const LAPSE_GRACE_PART = 0.8;
-/** Time for which an upstream that is gone from the list is still taken to be there, in milliseconds: leaving ones
- * serve on for a little longer than the two seconds after which they get no new work. */
-const DEPARTED_KEPT_MS = 3_000;
+/** Fraction of the leave timeout for which an upstream whose entry disappeared just after an outage of the platform is
+ * used at most. Entries that lapsed during the outage come back within two seconds. */
+const LAPSE_GRACE_FRACTION = 0.8;
+/** Time for which an upstream that is no longer listed counts as present, in milliseconds. Leaving upstreams continue
+ * to serve slightly longer than the two seconds after which they get no new requests. */
+const UNLISTED_TTL_MS = 3_000;
 
-/** Time for which an upstream that crashed gets nothing, in milliseconds: about as long as its entry stays, and a start
- * takes. */
-const CRASHED_FOR_MS = 3_000;
+/** Time for which a crashed upstream gets no requests, in milliseconds; about as long as its entry remains listed and a
+ * restart takes. */
+const CRASH_EXCLUSION_MS = 3_000;
 
-/** Starts that are remembered after they were taken out; above what lapses at once in the largest fleet. */
-const MAX_DROPPED = 10_000;
+/** Maximum number of removed instances that are remembered; more than lapse at once in the largest fleet. */
+const MAX_REMEMBERED_INSTANCES = 10_000;
 
-/** What the table needs. */
+/** Options of an upstream table. */
 export interface UpstreamTableOptions {
   logger: Logger;
-  /** Monotonic milliseconds up to which a missing entry may only have lapsed while the platform was away; in the past
-   * where it was not away lately. */
+  /** Returns the monotonic milliseconds until which a missing entry may only have lapsed during an outage of the
+   * platform; in the past if there was no recent outage. */
   getLapseEndsAt: () => number;
-  /** Time after which a leaving upstream may get no new work, in milliseconds. */
+  /** Time after which a leaving upstream must get no new requests, in milliseconds. */
   leaveWithinMs: number;
-  /** Told of an upstream that has started again under its id, before it is taken out: what was under way on the start
-   * before is lost. */
+  /** Called before an upstream is removed because it restarted under the same id; the requests in flight on the earlier
+   * instance are lost. */
   onRestart: (before: Upstream) => void;
-  /** Told of what an upstream has said of whether it takes requests, where that changed. */
+  /** Called when the availability of an upstream has changed. */
   onAvailability: (change: AvailabilityChange) => void;
-  /** Told of each upstream that is taken out. */
+  /** Called for each removed upstream. */
   onDrop: (upstream: Upstream) => void;
 }
 
-/** The upstreams that are known, by service. */
+/** Table of the known upstreams by service. */
 export class UpstreamTable {
   private readonly byId = new Map<string, Upstream>();
   private readonly byService = new Map<string, Upstream[]>();
-  /** Upstreams gone from the list, with the monotonic milliseconds at which they went. */
-  private readonly departed = new Map<Upstream, number>();
-  /** By id, starts that were taken out although they said to be left alone: their entries may come back. */
-  private readonly dropped = new Map<string, Upstream>();
+  /** Upstreams that are no longer listed, with the monotonic milliseconds of their removal. */
+  private readonly unlisted = new Map<Upstream, number>();
+  /** By id, removed instances that had announced leaving or asked for a backoff; their entries may come back. */
+  private readonly rememberedInstances = new Map<string, Upstream>();
 
   private constructor(private readonly options: UpstreamTableOptions) {}
 
   /** Creates an empty table.
-   * @param options What it needs. */
+   * @param options Options of the table. */
   static create(options: UpstreamTableOptions): UpstreamTable {
     return new UpstreamTable(options);
   }
 
-  /** All upstreams. */
+  /** Returns all upstreams. */
   getAll(): Iterable<Upstream> {
     return this.byId.values();
   }
 
-  /** Returns an upstream, or nothing.
-   * @param shortName Short name of the start. */
-  findByShortName(shortName: number): Upstream | undefined {
-    return [...this.byId.values()].find((one) => one.shortName === shortName);
+  /** Returns the upstream with an instance hash, if there is one.
+   * @param instanceHash Hash of the upstream instance. */
+  findByShortName(instanceHash: number): Upstream | undefined {
+    return [...this.byId.values()].find((upstream) =>
+      upstream.shortName === instanceHash
+    );
   }
 
-  /** The upstreams of a service that new requests may go to.
+  /** Returns the upstreams of a service that may get new requests.
    * @param service Name of the service. */
   getServing(service: string): Upstream[] {
     return (this.byService.get(service) ?? []).filter((upstream) =>
-      this.mayServe(upstream)
+      this.acceptsRequests(upstream)
     );
   }
 
-  /** Time until the first upstream of a service may be asked again, in milliseconds; undefined where one may be asked now, or
-   * none is left.
+  /** Returns the time until the first upstream of a service accepts requests again, in milliseconds; undefined if one
+   * accepts requests now, or none is left.
    * @param service Name of the service. */
   getBackoffMs(service: string): number | undefined {
     const now = readClock();
-    const times = (this.byService.get(service) ?? [])
-      .filter((upstream) => this.mayServeLater(upstream, now))
+    const backoffsMs = (this.byService.get(service) ?? [])
+      .filter((upstream) => this.isEligibleAfterBackoff(upstream, now))
       .map((upstream) => upstream.availability.getBackoffMs(now));
-    const first = Math.min(...times);
-    return Number.isFinite(first) && first > 0 ? first : undefined;
+    const minBackoffMs = Math.min(...backoffsMs);
+    return Number.isFinite(minBackoffMs) && minBackoffMs > 0
+      ? minBackoffMs
+      : undefined;
   }
 
-  /** All upstreams of a service that are still there: those listed, those that leave, and those gone from the list so
-   * lately that they still answer other upstreams.
+  /** Returns all upstreams of a service that are still present: those listed, including leaving ones, and those whose
+   * entry disappeared so recently that they still answer other upstreams.
    * @param service Name of the service. */
   getPresent(service: string): readonly Upstream[] {
     const now = readClock();
-    for (const [upstream, goneAt] of this.departed) {
-      if (now - goneAt > DEPARTED_KEPT_MS) this.departed.delete(upstream);
+    for (const [upstream, removedAt] of this.unlisted) {
+      if (now - removedAt > UNLISTED_TTL_MS) this.unlisted.delete(upstream);
     }
-    const departed = [...this.departed.keys()].filter((upstream) =>
+    const departed = [...this.unlisted.keys()].filter((upstream) =>
       upstream.published.service === service
     );
     return [...this.byService.get(service) ?? [], ...departed];
   }
 
-  /** Takes over changes.
+  /** Applies changes of the published list.
    * @param changes The changes. */
   apply(changes: readonly UpstreamChange[]): void {
     for (const { id, upstream } of changes) {
-      if (upstream === undefined) this.remove(id);
-      else this.put(upstream);
+      if (upstream === undefined) this.handleMissingEntry(id);
+      else this.applyEntry(upstream);
     }
   }
 
-  /** Takes an upstream out at once, for another has its address.
+  /** Removes an upstream immediately, for example because another one has its address.
    * @param upstream The upstream. */
   drop(upstream: Upstream): void {
     if (this.byId.get(upstream.id) !== upstream) return;
     this.byId.delete(upstream.id);
-    this.rebuild(upstream.published.service);
-    upstream.isDropped = true;
-    this.rememberWord(upstream);
+    this.rebuildService(upstream.published.service);
+    upstream.isRemoved = true;
+    this.rememberAvailability(upstream);
     upstream.close();
     this.options.logger.info({ upstream: upstream.id }, "upstream_dropped");
     this.options.onDrop(upstream);
   }
 
-  /** Closes all connections. */
+  /** Closes the idle connections of all upstreams. */
   close(): void {
     for (const upstream of this.byId.values()) upstream.close();
   }
 
-  /** Whether an upstream may get a new request at this moment. */
-  private mayServe(upstream: Upstream): boolean {
+  /** Returns whether an upstream may get a new request now. */
+  private acceptsRequests(upstream: Upstream): boolean {
     const now = readClock();
-    return this.mayServeLater(upstream, now) &&
+    return this.isEligibleAfterBackoff(upstream, now) &&
       upstream.availability.takesRequests(now);
   }
 
-  /** Whether an upstream may get a request once a backoff that it asked for is over. */
-  private mayServeLater(upstream: Upstream, now: number): boolean {
+  /** Returns whether an upstream may get new requests once its requested backoff, if any, has ended. */
+  private isEligibleAfterBackoff(upstream: Upstream, now: number): boolean {
     if (upstream.isLeaving) return false;
-    if (now - upstream.crashedAt < CRASHED_FOR_MS) return false;
-    return upstream.usedUntil === undefined || now < upstream.usedUntil;
+    if (now - upstream.crashedAt < CRASH_EXCLUSION_MS) return false;
+    return upstream.lapseEndsAt === undefined || now < upstream.lapseEndsAt;
   }
 
-  private put(published: PublishedUpstream): void {
+  private applyEntry(published: PublishedUpstream): void {
     const known = this.byId.get(published.id);
-    if (known) this.departed.delete(known);
-    if (known && isSameStart(known, published)) {
+    if (known) this.unlisted.delete(known);
+    if (known && isSameInstance(known, published)) {
       known.published = published;
-      known.usedUntil = undefined;
+      known.lapseEndsAt = undefined;
       return;
     }
     if (known) this.replace(known, published);
-    const fresh = Upstream.create(published, this.recallWord(published));
-    fresh.availability.onChange = (change) =>
-      this.noteAvailability(fresh, change);
-    this.byId.set(fresh.id, fresh);
-    this.rebuild(published.service);
-  }
-
-  /** What a start that is listed again said before its entry was missing; undefined where that is nothing. */
-  private recallWord(published: PublishedUpstream): Availability | undefined {
-    const before = this.dropped.get(published.id);
-    this.dropped.delete(published.id);
-    return before && isSameStart(before, published)
+    const current = Upstream.create(
+      published,
+      this.takeRememberedAvailability(published),
+    );
+    current.availability.onChange = (change) =>
+      this.handleAvailabilityChange(current, change);
+    this.byId.set(current.id, current);
+    this.rebuildService(published.service);
+  }
+
+  /** Returns and forgets the remembered availability of an instance that is listed again; undefined if there is
+   * none. */
+  private takeRememberedAvailability(
+    published: PublishedUpstream,
+  ): Availability | undefined {
+    const before = this.rememberedInstances.get(published.id);
+    this.rememberedInstances.delete(published.id);
+    return before && isSameInstance(before, published)
       ? before.availability
       : undefined;
   }
 
-  /** Remembers a start that is taken out, as long as what it said may count. */
-  private rememberWord(upstream: Upstream): void {
+  /** Remembers the availability of a removed instance that accepts no requests at present. */
+  private rememberAvailability(upstream: Upstream): void {
     if (upstream.availability.takesRequests(readClock())) return;
-    this.dropped.delete(upstream.id);
-    this.dropped.set(upstream.id, upstream);
-    if (this.dropped.size <= MAX_DROPPED) return;
-    const [oldest] = this.dropped.keys();
-    this.dropped.delete(oldest!);
+    this.rememberedInstances.delete(upstream.id);
+    this.rememberedInstances.set(upstream.id, upstream);
+    if (this.rememberedInstances.size <= MAX_REMEMBERED_INSTANCES) return;
+    const [oldest] = this.rememberedInstances.keys();
+    this.rememberedInstances.delete(oldest!);
   }
 
-  /** Takes out an upstream whose id another has now, with all that is known of it. */
-  private replace(known: Upstream, fresh: PublishedUpstream): void {
-    const { startedAt } = fresh;
+  /** Removes an upstream whose id now belongs to another instance, with its state. */
+  private replace(known: Upstream, current: PublishedUpstream): void {
+    const { startedAt } = current;
     if (known.published.startedAt !== startedAt) {
       this.options.logger.info(
         { upstream: known.id, startedAt },
@@ -188,7 +198,7 @@
     this.drop(known);
   }
 
-  private noteAvailability(
+  private handleAvailabilityChange(
     upstream: Upstream,
     change: AvailabilityChange,
   ): void {
@@ -197,27 +207,28 @@
     this.options.onAvailability(change);
   }
 
-  private remove(id: string): void {
+  private handleMissingEntry(id: string): void {
     const known = this.byId.get(id);
     if (!known) return;
     const now = readClock();
-    const longest = now + this.options.leaveWithinMs * LAPSE_GRACE_PART;
-    const usedUntil = Math.min(longest, this.options.getLapseEndsAt());
-    if (usedUntil <= now) return this.depart(known);
-    known.usedUntil = usedUntil;
+    const maxLapseEndsAt = now +
+      this.options.leaveWithinMs * LAPSE_GRACE_FRACTION;
+    const lapseEndsAt = Math.min(maxLapseEndsAt, this.options.getLapseEndsAt());
+    if (lapseEndsAt <= now) return this.removeUnlisted(known);
+    known.lapseEndsAt = lapseEndsAt;
     const timer = setTimeout(() => {
-      if (known.usedUntil === usedUntil) this.depart(known);
-    }, usedUntil - now);
+      if (known.lapseEndsAt === lapseEndsAt) this.removeUnlisted(known);
+    }, lapseEndsAt - now);
     timer.unref();
   }
 
-  /** Takes an upstream out that is gone from the list, and remembers it a little. */
-  private depart(upstream: Upstream): void {
-    this.departed.set(upstream, readClock());
+  /** Removes an upstream that is no longer listed; it still counts as present for a short time. */
+  private removeUnlisted(upstream: Upstream): void {
+    this.unlisted.set(upstream, readClock());
     this.drop(upstream);
   }
 
-  private rebuild(service: string): void {
+  private rebuildService(service: string): void {
     const serving = [...this.byId.values()].filter((upstream) =>
       upstream.published.service === service
     );
@@ -225,9 +236,9 @@
   }
 }
 
-/** Whether two entries under one id are of the same start of the same upstream. */
-function isSameStart(known: Upstream, fresh: PublishedUpstream): boolean {
-  const { address, service, startedAt } = fresh;
+/** Returns whether a published entry belongs to the same instance as a known upstream with its id. */
+function isSameInstance(known: Upstream, current: PublishedUpstream): boolean {
+  const { address, service, startedAt } = current;
   return known.published.address === address &&
     known.published.service === service &&
     known.published.startedAt === startedAt;
--- a/tests/admission/start_probability_test.ts
+++ b/tests/admission/start_probability_test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import test from "ava";
 import {
-  computeEndedPart,
-  computeRoom,
-  computeStartProbability,
+  computeAdmissionProbability,
+  computeCompletedFraction,
+  computeHeadroom,
   type UpstreamLoad,
 } from "../../src/admission/start_probability.ts";
 
-const EXACT: UpstreamLoad = {
+const EXACT_LOAD: UpstreamLoad = {
   bound: 13,
   own: 5,
   foreign: 0,
@@ -20,51 +20,58 @@
   foreign: fc.nat(200),
   countAgeMs: fc.nat(5_000),
 });
-const heldMean = fc.option(fc.double({ min: 1, max: 10_000, noNaN: true }), {
-  nil: undefined,
-});
+const inFlightMean = fc.option(
+  fc.double({ min: 1, max: 10_000, noNaN: true }),
+  {
+    nil: undefined,
+  },
+);
 
-test("with exact counts a host starts up to the bound and not beyond", (t) => {
-  t.true(computeRoom({ ...EXACT, own: 12 }, undefined) >= 0);
-  t.true(computeRoom({ ...EXACT, own: 12.5 }, undefined) < 0);
+test("with exact counts a host starts requests up to the bound and not beyond", (t) => {
+  t.true(computeHeadroom({ ...EXACT_LOAD, own: 12 }, undefined) >= 0);
+  t.true(computeHeadroom({ ...EXACT_LOAD, own: 12.5 }, undefined) < 0);
 });
 
-test("the room never passes what is left below the bound, and shrinks as counts age", (t) => {
-  const shrinks = fc.property(
+test("headroom never exceeds the remaining capacity below the bound, and shrinks as counts age", (t) => {
+  const shrinksWithAge = fc.property(
     load,
-    heldMean,
+    inFlightMean,
     fc.nat(5_000),
-    (one, heldMs, moreMs) => {
-      const room = Math.max(0, computeRoom(one, heldMs));
-      const countAgeMs = one.countAgeMs + moreMs;
-      const older = Math.max(0, computeRoom({ ...one, countAgeMs }, heldMs));
-      return room <= Math.max(0, one.bound - one.own - one.foreign - 1) &&
-        older <= room + 1e-6;
+    (current, inFlightMeanMs, additionalAgeMs) => {
+      const headroom = Math.max(0, computeHeadroom(current, inFlightMeanMs));
+      const countAgeMs = current.countAgeMs + additionalAgeMs;
+      const olderHeadroom = Math.max(
+        0,
+        computeHeadroom({ ...current, countAgeMs }, inFlightMeanMs),
+      );
+      return headroom <=
+          Math.max(0, current.bound - current.own - current.foreign - 1) &&
+        olderHeadroom <= headroom + 1e-6;
     },
   );
-  t.notThrows(() => fc.assert(shrinks, { seed: 1, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(shrinksWithAge, { seed: 1, numRuns: 2_000 }));
 });
 
-test("all hosts together are expected to fill no more than half of the room", (t) => {
-  const fits = fc.property(
+test("all hosts together are expected to fill at most half of the headroom", (t) => {
+  const fillsAtMostHalf = fc.property(
     fc.double({ min: -10, max: 100, noNaN: true }),
     fc.double({ min: 0, max: 10_000, noNaN: true }),
-    (room, unseen) => {
-      const probability = computeStartProbability(room, unseen);
+    (headroom, unseenStarts) => {
+      const probability = computeAdmissionProbability(headroom, unseenStarts);
       const isProbability = probability >= 0 && probability <= 1;
       return isProbability &&
-        probability * unseen <= Math.max(0, room) / 2 + 1e-6;
+        probability * unseenStarts <= Math.max(0, headroom) / 2 + 1e-6;
     },
   );
-  t.notThrows(() => fc.assert(fits, { seed: 2, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(fillsAtMostHalf, { seed: 2, numRuns: 2_000 }));
 });
 
-test("a host without others starts wherever there is room", (t) => {
-  t.is(computeStartProbability(0, 0), 1);
-  t.is(computeStartProbability(-1, 0), 0);
+test("a single host starts requests wherever there is headroom", (t) => {
+  t.is(computeAdmissionProbability(0, 0), 1);
+  t.is(computeAdmissionProbability(-1, 0), 0);
 });
 
-test("requests whose time is not known are taken for replaced, unless the counts are exact", (t) => {
-  t.is(computeEndedPart(100, undefined), 1);
-  t.is(computeEndedPart(0, undefined), 0);
+test("requests of unknown duration count as completed, unless the counts are exact", (t) => {
+  t.is(computeCompletedFraction(100, undefined), 1);
+  t.is(computeCompletedFraction(0, undefined), 0);
 });
--- a/tests/owner/load_bound_test.ts
+++ b/tests/owner/load_bound_test.ts
@@ -7,61 +7,63 @@
   minimumCap: fc.integer({ min: 1, max: 10 }),
   slots: fc.integer({ min: 1, max: 200 }),
   mean: fc.double({ min: 0, max: 100, noNaN: true }),
-  heardShare: fc.constant(1),
+  reachableShare: fc.constant(1),
 });
 
-test("the cap never exceeds the promised multiple of the mean, the minimum or the slots", (t) => {
-  const keeps = fc.property(bound, (one) => {
-    const promised = Math.max(
+test("the cap exceeds neither the guaranteed bound nor the slots", (t) => {
+  const property = fc.property(bound, (one) => {
+    const guaranteed = Math.max(
       one.minimumCap,
       Math.ceil(one.boundMultiple * one.mean),
     );
-    return computeCap(one) <= Math.min(promised, one.slots) &&
+    return computeCap(one) <= Math.min(guaranteed, one.slots) &&
       computeCap(one) >= 1;
   });
-  t.notThrows(() => fc.assert(keeps, { seed: 1, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 1, numRuns: 2_000 }));
 });
 
-// A second router may start a request unseen; at means of 1.9 to 2 the owner used all four places that are promised.
-test("the cap leaves a place of what is promised for another router", (t) => {
-  const keeps = fc.property(bound, (one) => {
-    const promised = Math.max(
+// Another router may start a request without the owner knowing. At means of 1.9 to 2 the owner used all four slots of
+// the guaranteed bound.
+test("the cap leaves one slot of the guaranteed bound for another router", (t) => {
+  const property = fc.property(bound, (one) => {
+    const guaranteed = Math.max(
       one.minimumCap,
       Math.ceil(one.boundMultiple * one.mean),
     );
-    return computeCap(one) <= Math.max(1, promised - 1);
+    return computeCap(one) <= Math.max(1, guaranteed - 1);
   });
-  t.notThrows(() => fc.assert(keeps, { seed: 4, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 4, numRuns: 2_000 }));
 });
 
-test("sides that do not hear each other together start no more than one side may", (t) => {
+test("both sides of a network partition together start no more than one side may", (t) => {
   const routers = fc.integer({ min: 2, max: 9 });
-  const keeps = fc.property(
+  const property = fc.property(
     bound,
     routers,
     fc.integer({ min: 1, max: 8 }),
     (one, listed, cut) => {
-      const left = Math.min(cut, listed - 1);
-      const sides = [left / listed, (listed - left) / listed];
-      const started = sides.map((heardShare) => {
+      const smaller = Math.min(cut, listed - 1);
+      const sides = [smaller / listed, (listed - smaller) / listed];
+      const started = sides.map((reachableShare) => {
         let own = 0;
         while (
-          own < 1_000 && hasRoom({ ...one, heardShare }, { own, foreign: 0 })
+          own < 1_000 &&
+          hasRoom({ ...one, reachableShare }, { own, foreign: 0 })
         ) own += 1;
         return own;
       });
       return started[0]! + started[1]! <= Math.max(2, computeCap(one));
     },
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 2, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(property, { seed: 2, numRuns: 2_000 }));
 });
 
 test("an idle upstream may always take one request", (t) => {
-  const keeps = fc.property(
+  const property = fc.property(
     bound,
     fc.double({ min: 0.01, max: 1, noNaN: true }),
-    (one, heardShare) =>
-      hasRoom({ ...one, heardShare }, { own: 0, foreign: 0 }),
+    (one, reachableShare) =>
+      hasRoom({ ...one, reachableShare }, { own: 0, foreign: 0 }),
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 3, numRuns: 500 }));
+  t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 500 }));
 });
