--- a/src/configuration/configuration_keeper.ts
+++ b/src/configuration/configuration_keeper.ts
@@ -69,7 +69,7 @@
     return this.store;
   }
 
-  /** Merges published values; resolves when each has been applied or refused.
+  /** Merges published values; resolves when all have been processed.
    * @param values The values.
    * @param source Origin of the values, for the audit trail. */
   async offer(
