--- a/src/entry/answer_sink.ts
+++ b/src/entry/answer_sink.ts
@@ -1,17 +1,17 @@
 import type { Failure } from "../errors/failure.ts";
 
-/** Takes an answer on its way to the caller. */
-export interface AnswerSink {
-  /** Whether any part of the answer has reached the sink. */
+/** Receives a response for the caller. */
+export interface ResponseSink {
+  /** Whether sending the response to the caller has started. */
   readonly hasStarted: boolean;
-  /** Whether the caller is gone. */
+  /** Whether nothing more can be sent to the caller. */
   readonly isClosed: boolean;
-  /** Takes the status and headers. */
+  /** Receives the status and headers. */
   head(status: number, headers: Record<string, string>): void;
-  /** Takes a part; resolves when the caller can take more. */
+  /** Receives a chunk of the body; resolves when the sink is ready for more. */
   chunk(bytes: Uint8Array): Promise<void>;
-  /** Ends a whole answer. */
+  /** Ends a complete response. */
   end(): void;
-  /** Ends with a refusal, or breaks off visibly where the answer has started. */
+  /** Sends a failure, or aborts the response with an error event if it has started. */
   fail(failure: Failure): void;
 }
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -1,102 +1,112 @@
 import type { Frame, FrameOf } from "../peer/frame_schema.ts";
 import type { PeerClient } from "../peer/peer_client.ts";
-import type { AnswerSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./answer_sink.ts";
 import type { SendGrant } from "./send_grant.ts";
 
-/** Time an owner has to say what became of a request whose time is over. */
+/** Time that an owner has to confirm the outcome of a request after its deadline. */
 const CANCEL_CONFIRM_MS = 100;
 
-/** Bytes taken by the caller after which the owner is told; a small part of the least stream window. */
-const CREDIT_STEP_BYTES = 4 * 1024;
+/** Minimum number of bytes that are credited to the owner at once; a small fraction of the smallest stream window. */
+const MIN_CREDIT_BYTES = 4 * 1024;
 
-/** How one attempt ended. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
   | { type: "done" }
   | {
     type: "declined";
     reason: FrameOf<"declined">["reason"];
     owner: string;
-    /** Time until the upstream may be asked again, in milliseconds, where it told. */
+    /** Back-off until the upstream may be tried again, in milliseconds, if it specified one. */
     backoffMs?: number;
   }
-  /** The owner was silent or its connection ended. */
+  /** The owner did not acknowledge the offer, or its connection was closed. */
   | { type: "unreachable"; detail: string; wasAccepted: boolean }
   | { type: "failed"; ran: "no" | "unknown"; detail: string }
   | { type: "expired" }
   | { type: "abandoned" };
 
-/** What an attempt needs. */
+/** Dependencies and limits of an attempt. */
 export interface AttemptOptions {
   client: PeerClient;
   offer: Omit<FrameOf<"offer">, "exchange">;
-  sink: AnswerSink;
+  sink: ResponseSink;
   grant: SendGrant;
-  /** Time in which the owner must acknowledge. */
+  /** Time within which the owner must acknowledge the offer. */
   acceptTimeoutMs: number;
-  /** Time left until the caller no longer waits. */
+  /** Time until the caller's deadline. */
   remainingMs: number;
-  /** Aborted when the caller is gone. */
-  callerGone: AbortSignal;
-  /** Told of the events that reached the sink. */
+  /** Aborted when the caller disconnects. */
+  disconnectSignal: AbortSignal;
+  /** Called with the number of events in each chunk that is passed to the sink. */
   onEvents: (count: number) => void;
 }
 
-/** One offer of a request to one owner, up to its end. */
+/** One offer of a request to one owner, until its outcome is known. */
 export class Attempt {
   private readonly exchange: number;
   private resolve: (outcome: AttemptOutcome) => void = () => undefined;
-  private isOver = false;
+  private isFinished = false;
   private isAccepted = false;
   private chunks = 0;
   private bytes = 0;
-  /** Bytes the caller has taken that the owner was not told of. */
-  private takenBytes = 0;
+  /** Bytes that were delivered to the caller and not yet credited to the owner. */
+  private uncreditedBytes = 0;
   private delivery: Promise<void> = Promise.resolve();
   private readonly timers: NodeJS.Timeout[] = [];
-  private readonly leave = () => this.finish({ type: "abandoned" });
+  private readonly handleDisconnect = () => this.finish({ type: "abandoned" });
 
   private constructor(private readonly options: AttemptOptions) {
-    this.exchange = options.client.openExchange((frame) => this.receive(frame));
+    this.exchange = options.client.openExchange((frame) =>
+      this.handleFrame(frame)
+    );
   }
 
-  /** Makes an attempt and resolves with how it ended.
-   * @param options What the attempt needs. */
-  static async make(options: AttemptOptions): Promise<AttemptOutcome> {
+  /** Runs an attempt and resolves with its outcome.
+   * @param options Dependencies and limits of the attempt. */
+  static async run(options: AttemptOptions): Promise<AttemptOutcome> {
     return await new Attempt(options).start();
   }
 
   private start(): Promise<AttemptOutcome> {
-    const { client, offer, acceptTimeoutMs, remainingMs, callerGone } =
-      this.options;
+    const {
+      client,
+      offer,
+      acceptTimeoutMs,
+      remainingMs,
+      disconnectSignal,
+    } = this.options;
     return new Promise((resolve) => {
       this.resolve = resolve;
-      const silent = () => this.lose("the owner did not acknowledge");
-      this.timers.push(setTimeout(silent, acceptTimeoutMs));
+      const handleAcceptTimeout = () =>
+        this.finishUnreachable("the owner did not acknowledge");
+      this.timers.push(setTimeout(handleAcceptTimeout, acceptTimeoutMs));
       this.timers.push(
-        setTimeout(() => this.expire(), Math.max(1, remainingMs)),
+        setTimeout(() => this.handleDeadline(), Math.max(1, remainingMs)),
       );
-      if (callerGone.aborted) return this.finish({ type: "abandoned" });
-      callerGone.addEventListener("abort", this.leave, { once: true });
+      if (disconnectSignal.aborted) return this.finish({ type: "abandoned" });
+      disconnectSignal.addEventListener("abort", this.handleDisconnect, {
+        once: true,
+      });
       client.send({ ...offer, exchange: this.exchange });
     });
   }
 
-  /** Asks the owner to stop, and gives it a moment to say that it had sent nothing. */
-  private expire(): void {
+  /** Cancels the request and gives the owner time to confirm that it sent nothing. */
+  private handleDeadline(): void {
     this.options.client.send({ type: "cancel", exchange: this.exchange });
     this.timers.push(
       setTimeout(() => this.finish({ type: "expired" }), CANCEL_CONFIRM_MS),
     );
   }
 
-  private lose(detail: string): void {
+  private finishUnreachable(detail: string): void {
     this.finish({ type: "unreachable", detail, wasAccepted: this.isAccepted });
   }
 
-  private receive(frame: Frame | undefined): void {
-    if (this.isOver) return;
+  private handleFrame(frame: Frame | undefined): void {
+    if (this.isFinished) return;
     if (!frame) {
-      return this.lose("the connection to the owner ended");
+      return this.finishUnreachable("the connection to the owner ended");
     }
     clearTimeout(this.timers[0]);
     const handler = this.handlers[frame.type];
@@ -121,15 +131,16 @@
         owner: frame.owner,
         backoffMs: frame.backoffMs,
       }),
-    claim: () => this.answerClaim(),
+    claim: () => this.handleClaim(),
     head: (frame) => this.options.sink.head(frame.status, frame.headers),
-    chunk: (frame) => this.takeChunk(frame),
-    end: (frame) => this.takeEnd(frame),
-    failed: (frame) => this.takeFailure(frame),
+    chunk: (frame) => this.handleChunk(frame),
+    end: (frame) => this.handleEnd(frame),
+    failed: (frame) => this.handleFailure(frame),
   };
 
-  private answerClaim(): void {
-    const isGranted = !this.options.sink.isClosed && this.options.grant.take();
+  private handleClaim(): void {
+    const isGranted = !this.options.sink.isClosed &&
+      this.options.grant.tryAcquire();
     this.options.client.send({
       type: isGranted ? "grant" : "withhold",
       exchange: this.exchange,
@@ -137,7 +148,7 @@
     if (!isGranted) this.finish({ type: "abandoned" });
   }
 
-  private takeChunk(frame: FrameOf<"chunk">): void {
+  private handleChunk(frame: FrameOf<"chunk">): void {
     if (frame.sequence !== this.chunks) {
       return this.finish({
         type: "failed",
@@ -153,19 +164,20 @@
 
   private async deliver(bytes: Uint8Array): Promise<void> {
     await this.options.sink.chunk(bytes);
-    this.takenBytes += bytes.length;
-    if (this.takenBytes < CREDIT_STEP_BYTES) return;
+    this.uncreditedBytes += bytes.length;
+    if (this.uncreditedBytes < MIN_CREDIT_BYTES) return;
     this.options.client.send({
       type: "credit",
       exchange: this.exchange,
-      bytes: this.takenBytes,
+      bytes: this.uncreditedBytes,
     });
-    this.takenBytes = 0;
+    this.uncreditedBytes = 0;
   }
 
-  private takeEnd(frame: FrameOf<"end">): void {
-    const isWhole = frame.chunks === this.chunks && frame.bytes === this.bytes;
-    if (!isWhole) {
+  private handleEnd(frame: FrameOf<"end">): void {
+    const isComplete = frame.chunks === this.chunks &&
+      frame.bytes === this.bytes;
+    if (!isComplete) {
       return this.finish({
         type: "failed",
         ran: "unknown",
@@ -175,16 +187,19 @@
     void this.delivery.then(() => this.finish({ type: "done" }));
   }
 
-  private takeFailure(frame: FrameOf<"failed">): void {
-    if (frame.ran === "no") this.options.grant.giveBack();
+  private handleFailure(frame: FrameOf<"failed">): void {
+    if (frame.ran === "no") this.options.grant.release();
     this.finish({ type: "failed", ran: frame.ran, detail: frame.detail });
   }
 
   private finish(outcome: AttemptOutcome): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     for (const timer of this.timers) clearTimeout(timer);
-    this.options.callerGone.removeEventListener("abort", this.leave);
+    this.options.disconnectSignal.removeEventListener(
+      "abort",
+      this.handleDisconnect,
+    );
     const isEndedByOwner = outcome.type === "done" ||
       outcome.type === "declined";
     if (!isEndedByOwner) {
--- a/src/entry/caller_checks.ts
+++ b/src/entry/caller_checks.ts
@@ -4,10 +4,10 @@
 import { Failure } from "../errors/failure.ts";
 import type { EntryContext } from "./entry_context.ts";
 
-const MAX_KEY_LENGTH = 256;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 256;
 
-/** Returns the customer a request names, or throws.
- * @param context What the handler works with.
+/** Returns the customer that a request names; throws if it is missing or unknown.
+ * @param context Dependencies of the handler.
  * @param request The request. */
 export function getCustomerOrThrow(
   context: EntryContext,
@@ -30,8 +30,8 @@
   return customer;
 }
 
-/** Returns the monotonic time at which the caller no longer waits.
- * @param context What the handler works with.
+/** Returns the deadline of a request, in monotonic milliseconds.
+ * @param context Dependencies of the handler.
  * @param request The request. */
 export function getDeadline(
   context: EntryContext,
@@ -50,31 +50,35 @@
   return readClock() + milliseconds;
 }
 
-/** Returns the idempotency key of a request, or nothing.
+/** Returns the idempotency key of a request, or undefined if it has none.
  * @param request The request. */
-export function getKey(request: IncomingMessage): string | undefined {
+export function getIdempotencyKey(
+  request: IncomingMessage,
+): string | undefined {
   const key = request.headers["idempotency-key"];
   if (key === undefined) return undefined;
-  if (typeof key !== "string" || key === "" || key.length > MAX_KEY_LENGTH) {
+  if (
+    typeof key !== "string" || key === "" ||
+    key.length > MAX_IDEMPOTENCY_KEY_LENGTH
+  ) {
     throw Failure.create(
       "malformed_request",
-      `header idempotency-key: must be 1 to ${MAX_KEY_LENGTH} characters`,
+      `header idempotency-key: must be 1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`,
     );
   }
   return key;
 }
 
-/** Whether a request may run more than once: by its header, else by whether its method is safe or it is a chat.
- * A request with an idempotency key never may.
+/** Whether a request may run more than once. A request with an idempotency key may not; otherwise its header decides.
  * @param request The request.
- * @param byDefault What holds where the header says nothing. */
+ * @param defaultValue Result for a request without the header: true for chats and safe methods. */
 export function isRepeatable(
   request: IncomingMessage,
-  byDefault: boolean,
+  defaultValue: boolean,
 ): boolean {
   if (request.headers["idempotency-key"] !== undefined) return false;
   const text = request.headers["x-beechkeel-repeatable"];
-  if (text === undefined) return byDefault;
+  if (text === undefined) return defaultValue;
   if (text !== "yes" && text !== "no") {
     throw Failure.create(
       "malformed_request",
@@ -84,9 +88,9 @@
   return text === "yes";
 }
 
-/** Throws unless the router serves requests.
- * @param context What the handler works with. */
-export function checkServing(context: EntryContext): void {
+/** Throws if the router does not serve requests: while it is starting or closing.
+ * @param context Dependencies of the handler. */
+export function assertServing(context: EntryContext): void {
   const phase = context.getPhase();
   if (phase === "starting") {
     throw Failure.create(
@@ -99,9 +103,9 @@
   }
 }
 
-/** Returns a signal that is aborted when the caller is gone.
+/** Creates a signal that is aborted when the caller disconnects before the response is finished.
  * @param response The caller's response. */
-export function signalWhenGone(response: ServerResponse): AbortSignal {
+export function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.on("close", () => {
     if (!response.writableFinished) controller.abort();
--- a/src/entry/caller_server.ts
+++ b/src/entry/caller_server.ts
@@ -10,10 +10,10 @@
 import type { EntryContext } from "./entry_context.ts";
 import { getHandlerOrThrow } from "./routes.ts";
 
-/** Interval at which callers that are too slow are looked for. */
-const SLOW_CHECK_MS = 500;
+/** Interval at which the header and request time-outs are checked. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
-/** Errors of Node's HTTP parser that have a kind of their own. */
+/** Error kinds of specific errors of Node's HTTP server; all others are `malformed_request`. */
 const CLIENT_ERROR_KINDS: Readonly<
   Record<string, "headers_too_large" | "caller_too_slow">
 > = {
@@ -21,7 +21,7 @@
   ERR_HTTP_REQUEST_TIMEOUT: "caller_too_slow",
 };
 
-/** The server that callers connect to; each request is handled on its own. */
+/** The HTTP server for callers; requests are handled independently of each other. */
 export class CallerServer {
   private openCount = 0;
   private isDraining = false;
@@ -32,55 +32,56 @@
   ) {}
 
   /** Starts listening.
-   * @param context What the handlers work with. */
+   * @param context Dependencies of the request handlers. */
   static async create(context: EntryContext): Promise<CallerServer> {
     const { limits, http } = context.settings;
     const server = createServer({
       maxHeaderSize: limits.maxHeaderBytes,
       headersTimeout: limits.headerTimeoutMs,
       requestTimeout: limits.requestTimeoutMs,
-      connectionsCheckingInterval: SLOW_CHECK_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
       noDelay: true,
     });
-    const callers = new CallerServer(server, context);
+    const callerServer = new CallerServer(server, context);
     server.on(
       "request",
-      (request, response) => void callers.handle(request, response),
+      (request, response) => void callerServer.handleRequest(request, response),
     );
     server.on(
       "clientError",
-      (error: Error & { code?: string }, socket) => refuseSocket(error, socket),
+      (error: Error & { code?: string }, socket) =>
+        refuseConnection(error, socket),
     );
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
       server.listen(http.port, http.host, resolve);
     });
-    return callers;
+    return callerServer;
   }
 
-  /** Requests under way. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.openCount;
   }
 
-  /** Asks callers to connect anew for each request from now on. */
+  /** From now on sends `connection: close`, so that callers open a new connection for each request. */
   startDraining(): void {
     this.isDraining = true;
   }
 
-  /** Stops listening; requests under way go on. */
+  /** Stops listening and closes idle connections; requests in progress continue. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  private async handle(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -101,14 +102,14 @@
         { request, response, url },
       );
     } catch (thrown) {
-      this.refuse(request, response, Failure.from(thrown));
+      this.refuseRequest(request, response, Failure.from(thrown));
     } finally {
       this.openCount -= 1;
       this.context.metrics.time("request", readClock() - startedAt);
     }
   }
 
-  private refuse(
+  private refuseRequest(
     request: IncomingMessage,
     response: ServerResponse,
     failure: Failure,
@@ -132,7 +133,11 @@
   }
 }
 
-function refuseSocket(error: Error & { code?: string }, socket: Duplex): void {
+/** Responds to a request that Node rejected before it reached a handler, and closes the connection. */
+function refuseConnection(
+  error: Error & { code?: string },
+  socket: Duplex,
+): void {
   if (!socket.writable) {
     socket.destroy();
     return;
--- a/src/entry/chat_completion.ts
+++ b/src/entry/chat_completion.ts
@@ -1,17 +1,17 @@
 import { DONE_LINE, engineEventSchema } from "../upstream/engine_event.ts";
-import type { KeptAnswer } from "./outcome_store.ts";
+import type { StoredResponse } from "./outcome_store.ts";
 
 const DATA_PREFIX = "data: ";
 
-/** Turns a whole stream of chunks into one chat completion, for callers who did not ask for a stream.
+/** Converts a complete event stream to a chat completion, for callers that did not request a stream.
  * @param requestId Id of the request.
  * @param model Model of the request.
- * @param stream The whole stream. */
+ * @param stream The complete event stream. */
 export function toChatCompletion(
   requestId: string,
   model: string,
   stream: Buffer,
-): KeptAnswer {
+): StoredResponse {
   let content = "";
   let usage: unknown;
   for (const line of stream.toString().split("\n\n")) {
--- a/src/entry/chat_handler.ts
+++ b/src/entry/chat_handler.ts
@@ -3,67 +3,71 @@
 import { hashText } from "../hashing/hasher.ts";
 import { describeIssues } from "../settings/describe_issues.ts";
 import {
-  checkServing,
+  assertServing,
   getCustomerOrThrow,
   getDeadline,
-  getKey,
+  getIdempotencyKey,
   isRepeatable,
 } from "./caller_checks.ts";
 import { toChatCompletion } from "./chat_completion.ts";
 import { type ChatRequest, chatRequestSchema } from "./chat_request_schema.ts";
-import type { EntryContext, Exchange } from "./entry_context.ts";
+import type { EntryContext, HttpExchange } from "./entry_context.ts";
 import { readBody } from "./read_body.ts";
 import type { RoutedRequest } from "./routed_request.ts";
-import { runStreamed, runWhole } from "./run_request.ts";
+import { runBuffered, runStreaming } from "./run_request.ts";
 import type { Customer } from "../configuration/customer.ts";
 
-/** Answers a chat completion request.
- * @param context What the handler works with.
- * @param exchange The caller's request. */
+/** Handles a chat completion request.
+ * @param context Dependencies of the handler.
+ * @param exchange The request and its response. */
 export async function handleChat(
   context: EntryContext,
-  exchange: Exchange,
+  exchange: HttpExchange,
 ): Promise<void> {
   const { request, response } = exchange;
-  checkServing(context);
+  assertServing(context);
   const customer = getCustomerOrThrow(context, request);
   const body = await readBody(request, context.settings.limits.maxBodyBytes);
-  const chat = parseChat(body);
+  const chat = parseChatRequest(body);
   const routed: RoutedRequest = {
     requestId: createUuid(),
     work: "chat",
-    need: { role: "engine", model: getModelOrThrow(customer, chat) },
-    placementKey: nameChat(customer, chat),
+    requirement: { role: "engine", model: getModelOrThrow(customer, chat) },
+    placementKey: createChatKey(customer, chat),
     customer,
     method: "POST",
     path: "/v1/chat/completions",
     headers: {
       "content-type": "application/json",
-      "x-chat": nameChat(customer, chat),
+      "x-chat": createChatKey(customer, chat),
     },
     body,
     repeatable: isRepeatable(request, true),
-    key: getKey(request),
+    key: getIdempotencyKey(request),
     deadlineAt: getDeadline(context, request),
   };
   if (chat.stream && routed.key === undefined) {
-    return await runStreamed(context, routed, response);
+    return await runStreaming(context, routed, response);
   }
-  await runWhole(
+  await runBuffered(
     context,
     routed,
     response,
-    (answer) =>
+    (upstreamResponse) =>
       chat.stream
-        ? { ...answer, headers: { "content-type": "text/event-stream" } }
-        : toChatCompletion(routed.requestId, chat.model, answer.body),
+        ? {
+          ...upstreamResponse,
+          headers: { "content-type": "text/event-stream" },
+        }
+        : toChatCompletion(routed.requestId, chat.model, upstreamResponse.body),
   );
 }
 
-/** Names a chat so that each return of it has the same key; a chat without an id is known by how it begins.
- * @param customer Whose chat it is.
+/** Creates the placement key of a chat, which all requests of the chat share.
+ * A chat without an id is identified by the hash of its first two messages.
+ * @param customer The customer.
  * @param chat The request. */
-export function nameChat(
+export function createChatKey(
   customer: Customer,
   chat: Pick<ChatRequest, "chat_id" | "messages">,
 ): string {
@@ -76,8 +80,9 @@
   return `${customer.id}/${id}`;
 }
 
-/** Returns the model, with its adapter, that the request names and the customer has; throws otherwise.
- * @param customer Whose request it is.
+/** Returns the requested model, followed by `+` and the adapter if the request names one.
+ * Throws if the customer is not entitled to them.
+ * @param customer The customer.
  * @param chat The request. */
 export function getModelOrThrow(
   customer: Customer,
@@ -93,7 +98,7 @@
   return `${chat.model}+${chat.adapter}`;
 }
 
-function parseChat(body: Buffer): ChatRequest {
+function parseChatRequest(body: Buffer): ChatRequest {
   let value: unknown;
   try {
     value = JSON.parse(body.toString());
--- a/src/entry/chat_request_schema.ts
+++ b/src/entry/chat_request_schema.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
 
-/** The body of a chat completion request; fields that are not named go to the engine as they are. */
+/** The schema of the body of a chat completion request; other fields are passed to the engine unchanged. */
 export const chatRequestSchema = z.looseObject({
   model: z.string().min(1),
   adapter: z.string().min(1).optional(),
   messages: z.array(z.looseObject({ role: z.string(), content: z.string() }))
     .min(1),
   stream: z.boolean().default(false),
-  /** Names the chat, so that it finds its context warm when it returns. */
+  /** Identifies the chat, so that its later requests are routed to the engine that holds its context in the cache. */
   chat_id: z.string().min(1).max(256).optional(),
 });
 
--- a/src/entry/dispatch_progress.ts
+++ b/src/entry/dispatch_progress.ts
@@ -2,48 +2,49 @@
 import type { ErrorKind } from "../errors/error_kind.ts";
 import { Failure } from "../errors/failure.ts";
 import { fingerprintRequest } from "../hashing/request_fingerprint.ts";
-import type { AnswerSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./answer_sink.ts";
 import type { AttemptOutcome } from "./attempt.ts";
-import { identify, type RoutedRequest } from "./routed_request.ts";
+import { getRequestIdentity, type RoutedRequest } from "./routed_request.ts";
 import { SendGrant } from "./send_grant.ts";
 
-/** Silent routers named in an offer. */
-const MAX_AVOIDED = 16;
+/** Maximum number of unresponsive routers listed in an offer. */
+const MAX_AVOIDED_ROUTERS = 16;
 
-/** Whether the request was run, as far as the entry knows. */
-export type DispatchEnd =
+/** Result of a dispatch; `mayHaveRun` tells whether the request may have been run, as far as the entry router knows. */
+export type DispatchResult =
   | { type: "done" }
   | { type: "refused"; failure: Failure; mayHaveRun: boolean }
   | { type: "abandoned"; mayHaveRun: boolean };
 
-/** What is known of a request while it is dispatched. */
+/** State of a request while it is dispatched. */
 export interface Progress {
   request: RoutedRequest;
-  /** Equal for requests that ask the same for the same customer. */
+  /** Equal for identical requests of the same customer. */
   fingerprint: number;
-  sink: AnswerSink;
+  sink: ResponseSink;
   grant: SendGrant;
-  callerGone: AbortSignal;
-  /** Events that reached the sink. */
+  disconnectSignal: AbortSignal;
+  /** Number of events that were passed to the sink. */
   events: number;
-  /** Routers that did not answer during this request. */
+  /** Routers that did not respond, or declined as stale, during this request. */
   silent: Set<string>;
-  /** Those of them that were tried once more, for another router had heard them. */
+  /** Routers that were removed from `silent` once, because another router named them as the owner. */
   retried: Set<string>;
-  /** Owners that other routers named, by upstream. */
+  /** Owners that other routers redirected to, by upstream. */
   namedOwners: Map<string, string>;
-  /** Upstreams that may be at work on the request for an owner that was lost. */
-  heldBy: Set<string>;
-  /** Whether an attempt ended without the owner's word that nothing was sent. */
-  isUncertain: boolean;
+  /** Upstreams that may still be running the request for an owner that became unreachable. */
+  possibleRunners: Set<string>;
+  /** Whether an attempt ended without confirmation by the owner that nothing was sent. */
+  hasInconclusiveAttempt: boolean;
+  /** Detail of the last decline or failure. */
   lastDetail: string;
 }
 
-/** Builds the offer of a request to an owner.
- * @param progress The request and what is known of it.
+/** Builds the frame that offers a request to an owner.
+ * @param progress State of the request.
  * @param upstreamId The upstream.
- * @param mayQueue Whether it may wait there.
- * @param remainingMs Time left. */
+ * @param mayQueue Whether the request may be queued at the upstream.
+ * @param remainingMs Time until the deadline. */
 export function buildOffer(
   progress: Progress,
   upstreamId: string,
@@ -67,18 +68,18 @@
     capacityShare: customer.capacityShare,
     repeatable,
     mayQueue,
-    avoids: [...progress.silent].slice(0, MAX_AVOIDED),
-    resumes: progress.heldBy.has(upstreamId),
+    avoids: [...progress.silent].slice(0, MAX_AVOIDED_ROUTERS),
+    resumes: progress.possibleRunners.has(upstreamId),
     resumeFrom: progress.events,
     remainingMs,
   };
 }
 
-/** Records which router another one names as the owner of an upstream. One that was silent is tried once more: the other has
- * heard it since.
- * @param progress The request and what is known of it.
+/** Records a redirect to another owner of an upstream.
+ * An owner that did not respond before is tried once more, because the redirecting router has heard from it since.
+ * @param progress State of the request.
  * @param upstreamId The upstream.
- * @param ownerId The named router. */
+ * @param ownerId The owner that the redirect names. */
 export function recordNamedOwner(
   progress: Pick<Progress, "silent" | "retried" | "namedOwners">,
   upstreamId: string,
@@ -89,66 +90,69 @@
   if (progress.silent.delete(ownerId)) progress.retried.add(ownerId);
 }
 
-/** Whether an attempt ended without the owner's word that nothing was sent. */
-export function leavesDoubt(outcome: AttemptOutcome): boolean {
+/** Whether an attempt ended without confirmation by the owner that nothing was sent. */
+export function isInconclusive(outcome: AttemptOutcome): boolean {
   if (outcome.type === "failed") return outcome.ran === "unknown";
   return outcome.type !== "done" && outcome.type !== "declined";
 }
 
-/** Whether an upstream may have begun the request. */
+/** Whether an upstream may have started to run the request. */
 export function mayHaveRun(progress: Progress): boolean {
   return progress.request.repeatable
-    ? progress.isUncertain
-    : progress.grant.taken;
+    ? progress.hasInconclusiveAttempt
+    : progress.grant.isAcquired;
 }
 
-/** Refuses a request; a kind that promises "not run" is replaced where that is not certain.
- * @param progress The request and what is known of it.
- * @param kind Why.
- * @param detail What exactly.
- * @param retryAfterMs Time after which the caller may come back, in milliseconds, where upstreams told one. */
+/** Refuses a request.
+ * If the request may have run, an error kind that states that it was not run is replaced.
+ * @param progress State of the request.
+ * @param kind The error kind.
+ * @param detail Detail of the error.
+ * @param retryAfterMs Time after which the caller may retry, in milliseconds, if upstreams specified one. */
 export function refuse(
   progress: Progress,
   kind: ErrorKind,
   detail: string,
   retryAfterMs?: number,
-): DispatchEnd {
-  const isDoubtful = mayHaveRun(progress);
-  const isPromise = ANSWER_TABLE[kind].ran === "no";
-  const actual = isDoubtful && isPromise ? replaceKind(progress, kind) : kind;
+): DispatchResult {
+  const mayHaveStarted = mayHaveRun(progress);
+  const assertsNotRun = ANSWER_TABLE[kind].ran === "no";
+  const actualKind = mayHaveStarted && assertsNotRun
+    ? toInconclusiveKind(progress, kind)
+    : kind;
   return {
     type: "refused",
-    failure: Failure.create(actual, detail, retryAfterMs),
-    mayHaveRun: isDoubtful,
+    failure: Failure.create(actualKind, detail, retryAfterMs),
+    mayHaveRun: mayHaveStarted,
   };
 }
 
-function replaceKind(progress: Progress, kind: ErrorKind): ErrorKind {
+function toInconclusiveKind(progress: Progress, kind: ErrorKind): ErrorKind {
   if (!progress.request.repeatable) return "outcome_unknown";
   return kind === "deadline_exceeded" ? "timed_out" : "upstream_failed";
 }
 
-/** Creates the progress of a request of which nothing is known yet.
+/** Creates the state of a request that is not dispatched yet.
  * @param request The request.
- * @param sink Takes the answer.
- * @param callerGone Aborted when the caller is gone. */
+ * @param sink Receives the response.
+ * @param disconnectSignal Aborted when the caller disconnects. */
 export function createProgress(
   request: RoutedRequest,
-  sink: AnswerSink,
-  callerGone: AbortSignal,
+  sink: ResponseSink,
+  disconnectSignal: AbortSignal,
 ): Progress {
   return {
     request,
-    fingerprint: fingerprintRequest(identify(request)),
+    fingerprint: fingerprintRequest(getRequestIdentity(request)),
     sink,
     grant: SendGrant.create(),
-    callerGone,
+    disconnectSignal,
     events: 0,
     silent: new Set(),
     retried: new Set(),
     namedOwners: new Map(),
-    heldBy: new Set(),
-    isUncertain: false,
+    possibleRunners: new Set(),
+    hasInconclusiveAttempt: false,
     lastDetail: "",
   };
 }
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -8,14 +8,14 @@
 import { POLICIES } from "../placement/policies.ts";
 import { Random } from "../random/random.ts";
 import type { Settings } from "../settings/settings_schema.ts";
-import type { AnswerSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./answer_sink.ts";
 import { Attempt, type AttemptOutcome } from "./attempt.ts";
-import { noteAttempt } from "./note_attempt.ts";
+import { recordAttempt } from "./record_attempt.ts";
 import {
   buildOffer,
   createProgress,
-  type DispatchEnd,
-  leavesDoubt,
+  type DispatchResult,
+  isInconclusive,
   mayHaveRun,
   type Progress,
   recordNamedOwner,
@@ -24,10 +24,10 @@
 import { RetryBudget } from "./retry_budget.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
-/** Owners tried for one upstream before it is left. */
-const OWNERS_PER_UPSTREAM = 3;
+/** Maximum number of owner routers that are tried for one upstream before the next upstream is tried. */
+const MAX_OWNERS_PER_UPSTREAM = 3;
 
-/** What the dispatcher needs of the rest of the router. */
+/** Dependencies of the dispatcher. */
 export interface DispatcherOptions {
   settings: Settings;
   logger: Logger;
@@ -36,59 +36,61 @@
   crashGuard: CrashGuard;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
-  /** Told of a router that did not answer. */
+  /** Called with the id of a router that did not respond. */
   onUnreachable: (routerId: string) => void;
 }
 
-/** By upstream, how it last declined a request. */
+/** The last declined attempt by upstream. */
 type Declines = Map<string, Extract<AttemptOutcome, { type: "declined" }>>;
 
-/** What follows from an attempt's outcome. */
+/** How dispatching continues after an attempt. */
 type NextStep =
-  | { type: "end"; end: DispatchEnd }
+  | { type: "end"; end: DispatchResult }
   | { type: "next_upstream" }
   | { type: "next_owner" };
 
-/** Brings a request to an upstream: candidates in the order of its key, each through its owner. */
+/** Dispatches requests to upstreams.
+ * Candidates are tried in the order given by the placement key, each through the router that owns it. */
 export class Dispatcher {
-  private readonly budget: RetryBudget;
+  private readonly retryBudget: RetryBudget;
   private readonly random = Random.create();
 
   private constructor(private readonly options: DispatcherOptions) {
     const { retryRatio, retryReserve } = options.settings.routing;
-    this.budget = RetryBudget.create(retryRatio, retryReserve);
+    this.retryBudget = RetryBudget.create(retryRatio, retryReserve);
   }
 
   /** Creates a dispatcher.
-   * @param options What it needs. */
+   * @param options Its dependencies. */
   static create(options: DispatcherOptions): Dispatcher {
     return new Dispatcher(options);
   }
 
-  /** Runs a request and sends its answer, or the refusal, to the sink.
+  /** Dispatches a request and writes the response, or the failure, to the sink.
    * @param request The request.
-   * @param sink Takes the answer.
-   * @param callerGone Aborted when the caller is gone. */
+   * @param sink Receives the response.
+   * @param disconnectSignal Aborted when the caller disconnects. */
   async dispatch(
     request: RoutedRequest,
-    sink: AnswerSink,
-    callerGone: AbortSignal,
-  ): Promise<DispatchEnd> {
-    this.budget.earn();
-    const progress = createProgress(request, sink, callerGone);
-    const end = this.refuseHeld(progress) ?? await this.tryAll(progress);
-    if (end.type === "done") sink.end();
-    if (end.type === "refused") sink.fail(end.failure);
-    return end;
+    sink: ResponseSink,
+    disconnectSignal: AbortSignal,
+  ): Promise<DispatchResult> {
+    this.retryBudget.recordRequest();
+    const progress = createProgress(request, sink, disconnectSignal);
+    const result = this.refuseIfHeld(progress) ??
+      await this.tryUpstreams(progress);
+    if (result.type === "done") sink.end();
+    if (result.type === "refused") sink.fail(result.failure);
+    return result;
   }
 
-  /** Orders the upstreams for a request, the first choice first.
-   * @param request What the request needs and its key. */
-  order(
-    request: Pick<RoutedRequest, "need" | "placementKey">,
+  /** Returns the candidate upstreams for a request in order of preference.
+   * @param request The requirement and the placement key of the request. */
+  orderUpstreams(
+    request: Pick<RoutedRequest, "requirement" | "placementKey">,
   ): readonly string[] {
     const candidates = this.options.getPlacement().getCandidates(
-      request.need,
+      request.requirement,
       request.placementKey,
     );
     const now = readClock();
@@ -99,36 +101,50 @@
     });
   }
 
-  private refuseHeld({ fingerprint }: Progress): DispatchEnd | undefined {
+  private refuseIfHeld({ fingerprint }: Progress): DispatchResult | undefined {
     const failure = this.options.crashGuard.findRefusal(fingerprint);
     return failure && { type: "refused", failure, mayHaveRun: false };
   }
 
-  private async tryAll(progress: Progress): Promise<DispatchEnd> {
-    const order = this.order(progress.request);
+  private async tryUpstreams(progress: Progress): Promise<DispatchResult> {
+    const order = this.orderUpstreams(progress.request);
     if (order.length === 0) {
       return refuse(progress, "no_upstream", "no live upstream serves this");
     }
     const { candidateLimit } = this.options.settings.routing;
     const declines: Declines = new Map();
     for (const upstreamId of order.slice(0, candidateLimit)) {
-      const end = await this.tryUpstream(progress, upstreamId, false, declines);
-      if (end) return end;
+      const result = await this.tryUpstream(
+        progress,
+        upstreamId,
+        false,
+        declines,
+      );
+      if (result) return result;
     }
-    for (const upstreamId of this.orderForQueue(order)) {
-      const end = await this.tryUpstream(progress, upstreamId, true, declines);
-      if (end) return end;
+    for (const upstreamId of this.chooseQueueUpstreams(order)) {
+      const result = await this.tryUpstream(
+        progress,
+        upstreamId,
+        true,
+        declines,
+      );
+      if (result) return result;
     }
-    return this.giveUp(progress, declines);
+    return this.refuseAfterLastUpstream(progress, declines);
   }
 
-  /** The upstreams to wait for: the least loaded of the nearest candidates, then the first choice. */
-  private orderForQueue(order: readonly string[]): string[] {
+  /** Returns the upstreams where the request may be queued: the two least loaded of the first candidates, then the most
+   * preferred one. */
+  private chooseQueueUpstreams(order: readonly string[]): string[] {
     const now = readClock();
     const getLoad = (id: string) => this.options.loads.getLoad(id, now) ?? 0;
-    const near = order.slice(0, this.options.settings.routing.candidateLimit);
-    const least = [...near].sort((a, b) => getLoad(a) - getLoad(b));
-    return [...new Set([...least.slice(0, 2), ...near.slice(0, 1)])];
+    const candidates = order.slice(
+      0,
+      this.options.settings.routing.candidateLimit,
+    );
+    const byLoad = [...candidates].sort((a, b) => getLoad(a) - getLoad(b));
+    return [...new Set([...byLoad.slice(0, 2), ...candidates.slice(0, 1)])];
   }
 
   private async tryUpstream(
@@ -136,8 +152,8 @@
     upstreamId: string,
     mayQueue: boolean,
     declines: Declines,
-  ): Promise<DispatchEnd | undefined> {
-    for (let tries = 0; tries < OWNERS_PER_UPSTREAM; tries++) {
+  ): Promise<DispatchResult | undefined> {
+    for (let tryCount = 0; tryCount < MAX_OWNERS_PER_UPSTREAM; tryCount++) {
       const ownerId = this.chooseOwner(upstreamId, progress);
       if (!ownerId) return undefined;
       const eventsBefore = progress.events;
@@ -147,35 +163,36 @@
         ownerId,
         mayQueue,
       );
-      noteAttempt(this.options.crashGuard, {
+      recordAttempt(this.options.crashGuard, {
         fingerprint: progress.fingerprint,
         upstream: this.options.getView().getUpstream(upstreamId),
         outcome,
-        isAnsweredInPart: progress.events > eventsBefore,
+        hasReceivedEvents: progress.events > eventsBefore,
       });
       if (outcome.type === "declined") declines.set(upstreamId, outcome);
       if (outcome.type === "declined" && outcome.owner !== "") {
         recordNamedOwner(progress, upstreamId, outcome.owner);
       }
       if (outcome.type === "unreachable" && outcome.wasAccepted) {
-        progress.heldBy.add(upstreamId);
+        progress.possibleRunners.add(upstreamId);
       }
-      const step = this.decide(progress, ownerId, outcome);
+      const step = this.decideNextStep(progress, ownerId, outcome);
       if (step.type === "end") return step.end;
       if (step.type === "next_upstream") return undefined;
     }
     return undefined;
   }
 
-  /** The owner that another router named, or else the first in this router's own view that is not silent. */
+  /** Returns the owner that another router redirected to, or else the first owner in this router's own view.
+   * Owners that did not respond during this request are skipped. */
   private chooseOwner(
     upstreamId: string,
     progress: Progress,
   ): string | undefined {
     const host = this.options.getView().getUpstream(upstreamId);
     if (!host) return undefined;
-    const named = progress.namedOwners.get(upstreamId);
-    if (named !== undefined && !progress.silent.has(named)) return named;
+    const target = progress.namedOwners.get(upstreamId);
+    if (target !== undefined && !progress.silent.has(target)) return target;
     const owners = this.options.getPlacement().getOwners(host).filter((id) =>
       !progress.silent.has(id)
     );
@@ -188,10 +205,10 @@
     ownerId: string,
     mayQueue: boolean,
   ): Promise<AttemptOutcome> {
-    const { request, sink, grant, callerGone } = progress;
+    const { request, sink, grant, disconnectSignal } = progress;
     const remainingMs = request.deadlineAt - readClock();
     if (remainingMs <= 0) return { type: "expired" };
-    if (callerGone.aborted) return { type: "abandoned" };
+    if (disconnectSignal.aborted) return { type: "abandoned" };
     const client = await this.options.directory.getClient(ownerId);
     if (!client) {
       return {
@@ -200,24 +217,24 @@
         wasAccepted: false,
       };
     }
-    return await Attempt.make({
+    return await Attempt.run({
       client,
       offer: buildOffer(progress, upstreamId, mayQueue, remainingMs),
       sink,
       grant,
       acceptTimeoutMs: this.options.settings.routing.acceptTimeoutMs,
       remainingMs,
-      callerGone,
+      disconnectSignal,
       onEvents: (count) => progress.events += count,
     });
   }
 
-  private decide(
+  private decideNextStep(
     progress: Progress,
     ownerId: string,
     outcome: AttemptOutcome,
   ): NextStep {
-    progress.isUncertain ||= leavesDoubt(outcome);
+    progress.hasInconclusiveAttempt ||= isInconclusive(outcome);
     switch (outcome.type) {
       case "done":
         return { type: "end", end: { type: "done" } };
@@ -236,21 +253,21 @@
           ),
         };
       case "declined":
-        return this.decideOnDecline(progress, ownerId, outcome.reason);
+        return this.decideAfterDecline(progress, ownerId, outcome.reason);
       case "unreachable":
         this.options.onUnreachable(ownerId);
         progress.silent.add(ownerId);
-        return this.decideOnFailure(progress, outcome.detail, {
+        return this.decideAfterFailure(progress, outcome.detail, {
           type: "next_owner",
         });
       case "failed":
-        return this.decideOnFailure(progress, outcome.detail, {
+        return this.decideAfterFailure(progress, outcome.detail, {
           type: "next_upstream",
         });
     }
   }
 
-  private decideOnDecline(
+  private decideAfterDecline(
     progress: Progress,
     ownerId: string,
     reason: string,
@@ -268,13 +285,13 @@
     return { type: "next_owner" };
   }
 
-  private decideOnFailure(
+  private decideAfterFailure(
     progress: Progress,
     detail: string,
     next: NextStep,
   ): NextStep {
     progress.lastDetail = detail;
-    if (progress.grant.taken) {
+    if (progress.grant.isAcquired) {
       return { type: "end", end: refuse(progress, "outcome_unknown", detail) };
     }
     if (!this.options.crashGuard.maySendAgain(progress.fingerprint)) {
@@ -283,14 +300,17 @@
         end: refuse(progress, "crashes_upstreams", `held after ${detail}`),
       };
     }
-    if (this.budget.spend()) return next;
+    if (this.retryBudget.tryAcquire()) return next;
     return {
       type: "end",
       end: refuse(progress, "no_upstream", `no retry left: ${detail}`),
     };
   }
 
-  private giveUp(progress: Progress, declines: Declines): DispatchEnd {
+  private refuseAfterLastUpstream(
+    progress: Progress,
+    declines: Declines,
+  ): DispatchResult {
     if (progress.events > 0) {
       return refuse(progress, "stream_broken", progress.lastDetail);
     }
@@ -304,7 +324,12 @@
     }
     if (reasons.includes("full")) {
       const detail = "all candidates are full";
-      return refuse(progress, "overloaded", detail, getFirstBackoff(declines));
+      return refuse(
+        progress,
+        "overloaded",
+        detail,
+        getShortestBackoff(declines),
+      );
     }
     return refuse(
       progress,
@@ -314,9 +339,9 @@
   }
 }
 
-/** Time until the first upstream may be asked again, in milliseconds; undefined where one is full and named no time. */
-function getFirstBackoff(declines: Declines): number | undefined {
+/** Returns the shortest back-off of the full upstreams, in milliseconds; undefined if one of them specified none. */
+function getShortestBackoff(declines: Declines): number | undefined {
   const full = [...declines.values()].filter(({ reason }) => reason === "full");
-  const first = Math.min(...full.map(({ backoffMs }) => backoffMs ?? 0));
-  return first > 0 ? first : undefined;
+  const shortest = Math.min(...full.map(({ backoffMs }) => backoffMs ?? 0));
+  return shortest > 0 ? shortest : undefined;
 }
--- a/src/entry/entry_context.ts
+++ b/src/entry/entry_context.ts
@@ -11,10 +11,10 @@
 import type { Dispatcher } from "./dispatcher.ts";
 import type { OutcomeStore } from "./outcome_store.ts";
 
-/** State of a router towards callers. */
+/** Phase of a router's life cycle. */
 export type RouterPhase = "starting" | "serving" | "draining" | "closing";
 
-/** What the handlers of callers' requests work with. */
+/** Dependencies of the request handlers. */
 export interface EntryContext {
   settings: Settings;
   logger: Logger;
@@ -27,19 +27,19 @@
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
   getPhase: () => RouterPhase;
-  /** Everything that operators see of the router. */
+  /** Returns the router's status for operators. */
   describe: () => RouterStatus;
 }
 
-/** One request of a caller. */
-export interface Exchange {
+/** A caller's HTTP request and its response. */
+export interface HttpExchange {
   request: IncomingMessage;
   response: ServerResponse;
   url: URL;
 }
 
-/** Answers one kind of request; a thrown failure becomes the answer. */
+/** Handles requests of one route; a thrown failure is sent as the response. */
 export type RequestHandler = (
   context: EntryContext,
-  exchange: Exchange,
+  exchange: HttpExchange,
 ) => Promise<void> | void;
--- a/src/entry/operator_handlers.ts
+++ b/src/entry/operator_handlers.ts
@@ -1,29 +1,38 @@
 import { Failure } from "../errors/failure.ts";
-import { nameChat } from "./chat_handler.ts";
-import type { EntryContext, Exchange } from "./entry_context.ts";
+import { createChatKey } from "./chat_handler.ts";
+import type { EntryContext, HttpExchange } from "./entry_context.ts";
 import { sendJson } from "./send_json.ts";
 
 const DEFAULT_AUDIT_LIMIT = 100;
 
-/** Says whether the router takes requests; 200 only while it serves.
- * @param context What the handler works with.
- * @param exchange The request. */
-export function handleHealth(context: EntryContext, exchange: Exchange): void {
+/** Responds with the router's phase; the status is 200 only while the router is serving, 503 otherwise.
+ * @param context Dependencies of the handler.
+ * @param exchange The request and its response. */
+export function handleHealth(
+  context: EntryContext,
+  exchange: HttpExchange,
+): void {
   const phase = context.getPhase();
   sendJson(exchange.response, phase === "serving" ? 200 : 503, { phase });
 }
 
-/** Shows everything operators see of the router.
- * @param context What the handler works with.
- * @param exchange The request. */
-export function handleStatus(context: EntryContext, exchange: Exchange): void {
+/** Responds with the router's status.
+ * @param context Dependencies of the handler.
+ * @param exchange The request and its response. */
+export function handleStatus(
+  context: EntryContext,
+  exchange: HttpExchange,
+): void {
   sendJson(exchange.response, 200, context.describe());
 }
 
-/** Shows the recent changes, those of one subject where the query names it.
- * @param context What the handler works with.
- * @param exchange The request. */
-export function handleAudit(context: EntryContext, exchange: Exchange): void {
+/** Responds with the most recent audit records, optionally filtered by the start of their subject.
+ * @param context Dependencies of the handler.
+ * @param exchange The request, whose query may contain `limit` and `what`, and its response. */
+export function handleAudit(
+  context: EntryContext,
+  exchange: HttpExchange,
+): void {
   const limit = Number(
     exchange.url.searchParams.get("limit") ?? DEFAULT_AUDIT_LIMIT,
   );
@@ -33,10 +42,13 @@
   });
 }
 
-/** Shows where a chat would go and why.
- * @param context What the handler works with.
- * @param exchange The request; its query names `customer`, `model` and `chat`. */
-export function handleExplain(context: EntryContext, exchange: Exchange): void {
+/** Responds with the routing decision for a chat: its placement key, the policy and the candidates in order.
+ * @param context Dependencies of the handler.
+ * @param exchange The request, whose query contains `customer`, `model` and `chat`, and its response. */
+export function handleExplain(
+  context: EntryContext,
+  exchange: HttpExchange,
+): void {
   const query = exchange.url.searchParams;
   const customerId = query.get("customer") ?? "";
   const customer = context.configuration.customers.getCustomer(customerId);
@@ -44,12 +56,12 @@
     throw Failure.create("unknown_customer", `query.customer: ${customerId}`);
   }
   const model = query.get("model") ?? customer.models[0] ?? "";
-  const placementKey = nameChat(customer, {
+  const placementKey = createChatKey(customer, {
     chat_id: query.get("chat") ?? "",
     messages: [],
   });
-  const order = context.dispatcher.order({
-    need: { role: "engine", model },
+  const order = context.dispatcher.orderUpstreams({
+    requirement: { role: "engine", model },
     placementKey,
   });
   const candidates = order.map((id) => {
--- a/src/entry/outcome_store.ts
+++ b/src/entry/outcome_store.ts
@@ -1,49 +1,49 @@
-/** A whole answer, kept for callers who ask again. */
-export interface KeptAnswer {
+/** A complete response, stored for callers that repeat the request. */
+export interface StoredResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
-/** What became of an attempt. */
+/** Outcome of an attempt; `released` means that it was not run and never will be. */
 export type Outcome =
-  | { state: "done"; answer: KeptAnswer }
+  | { state: "done"; answer: StoredResponse }
   | { state: "released" }
   | { state: "unknown" };
 
-interface Slot {
+interface AttemptSlot {
   outcome: Outcome | undefined;
   waiting: ((outcome: Outcome) => void)[];
   openedAt: number;
 }
 
-/** The outcomes of this router's keyed attempts, for the routers where a caller asks again. */
+/** Outcomes of this router's attempts with an idempotency key, for routers that receive a repetition of the request. */
 export class OutcomeStore {
-  private readonly slots = new Map<string, Slot>();
+  private readonly slots = new Map<string, AttemptSlot>();
 
   private constructor(
     private readonly rememberMs: number,
-    private readonly maxAnswers: number,
+    private readonly maxOutcomes: number,
   ) {}
 
   /** Creates an empty store.
-   * @param rememberMs Time for which an outcome is kept.
-   * @param maxAnswers Most outcomes kept; the oldest are dropped first. */
-  static create(rememberMs: number, maxAnswers: number): OutcomeStore {
-    return new OutcomeStore(rememberMs, maxAnswers);
+   * @param rememberMs Retention period of an outcome.
+   * @param maxOutcomes Maximum number of outcomes; the oldest are evicted first. */
+  static create(rememberMs: number, maxOutcomes: number): OutcomeStore {
+    return new OutcomeStore(rememberMs, maxOutcomes);
   }
 
-  /** Opens an attempt whose outcome will be settled.
-   * @param attempt The attempt.
-   * @param now Milliseconds. */
+  /** Registers an attempt whose outcome is pending.
+   * @param attempt Id of the attempt.
+   * @param now Current time in milliseconds. */
   open(attempt: string, now: number): void {
-    this.expire(now);
+    this.evict(now);
     this.slots.set(attempt, { outcome: undefined, waiting: [], openedAt: now });
   }
 
-  /** Settles an attempt; only the first outcome counts.
-   * @param attempt The attempt.
-   * @param outcome What became of it. */
+  /** Settles an attempt; later outcomes of a settled attempt are ignored.
+   * @param attempt Id of the attempt.
+   * @param outcome Its outcome. */
   settle(attempt: string, outcome: Outcome): void {
     const slot = this.slots.get(attempt);
     if (!slot || slot.outcome) return;
@@ -52,9 +52,10 @@
     slot.waiting = [];
   }
 
-  /** Returns an attempt's outcome, waiting for it; unknown where it is not known here or not in time.
-   * @param attempt The attempt.
-   * @param waitMs Time to wait. */
+  /** Returns the outcome of an attempt once it is settled.
+   * It is `unknown` if the attempt is not registered here or is not settled in time.
+   * @param attempt Id of the attempt.
+   * @param waitMs Maximum time to wait. */
   async get(attempt: string, waitMs: number): Promise<Outcome> {
     const slot = this.slots.get(attempt);
     if (!slot) return { state: "unknown" };
@@ -68,11 +69,12 @@
     });
   }
 
-  private expire(now: number): void {
+  /** Evicts the oldest attempts that have expired or exceed the limit; stops at the first one that is not settled. */
+  private evict(now: number): void {
     for (const [attempt, slot] of this.slots) {
-      const isKept = now - slot.openedAt < this.rememberMs &&
-        this.slots.size < this.maxAnswers;
-      if (isKept) return;
+      const isRetained = now - slot.openedAt < this.rememberMs &&
+        this.slots.size < this.maxOutcomes;
+      if (isRetained) return;
       if (slot.outcome) this.slots.delete(attempt);
       else return;
     }
--- a/src/entry/read_body.ts
+++ b/src/entry/read_body.ts
@@ -1,27 +1,27 @@
 import type { IncomingMessage } from "node:http";
 import { Failure } from "../errors/failure.ts";
 
-/** Reads a request's body; throws a failure where it exceeds the limit or breaks off.
+/** Reads the body of a request; throws if it exceeds the limit or ends early.
  * @param request The request.
- * @param maxBytes Most bytes taken. */
+ * @param maxBytes Maximum size of the body. */
 export async function readBody(
   request: IncomingMessage,
   maxBytes: number,
 ): Promise<Buffer> {
-  const announced = Number(request.headers["content-length"] ?? 0);
-  if (announced > maxBytes) throw tooLarge(maxBytes);
-  const parts: Buffer[] = [];
+  const declaredLength = Number(request.headers["content-length"] ?? 0);
+  if (declaredLength > maxBytes) throw createTooLargeFailure(maxBytes);
+  const chunks: Buffer[] = [];
   let size = 0;
-  // The connection stays open, so that a refusal can still be written to it.
-  for await (const part of request.iterator({ destroyOnReturn: false })) {
-    size += part.length;
-    if (size > maxBytes) throw tooLarge(maxBytes);
-    parts.push(part);
+  // Keeps the connection open, so that the failure can still be sent.
+  for await (const chunk of request.iterator({ destroyOnReturn: false })) {
+    size += chunk.length;
+    if (size > maxBytes) throw createTooLargeFailure(maxBytes);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
-function tooLarge(maxBytes: number): Failure {
+function createTooLargeFailure(maxBytes: number): Failure {
   return Failure.create(
     "request_too_large",
     `body: more than ${maxBytes} bytes`,
--- /dev/null
+++ b/src/entry/record_attempt.ts
@@ -0,0 +1,45 @@
+import type { Host } from "../configuration_service/host_schema.ts";
+import type { CheckedUpstream } from "../crashes/crash_detector.ts";
+import type { CrashGuard } from "../crashes/crash_guard.ts";
+import { hashText } from "../hashing/hasher.ts";
+import type { AttemptOutcome } from "./attempt.ts";
+
+/** A finished attempt. */
+export interface FinishedAttempt {
+  fingerprint: number;
+  /** The upstream that the request was sent to; undefined if it is no longer in the host list. */
+  upstream: Host | undefined;
+  outcome: AttemptOutcome;
+  /** Whether events of the response arrived during the attempt. */
+  hasReceivedEvents: boolean;
+}
+
+/** Reports to the crash guard that an attempt was completed, or that it failed and may have run.
+ * @param guard The crash guard.
+ * @param attempt The finished attempt. */
+export function recordAttempt(
+  guard: CrashGuard,
+  attempt: FinishedAttempt,
+): void {
+  const {
+    fingerprint,
+    upstream,
+    outcome,
+    hasReceivedEvents,
+  } = attempt;
+  if (outcome.type === "done") guard.noteServed(fingerprint);
+  const isBroken = outcome.type === "failed" && outcome.ran === "unknown";
+  if (!isBroken || !upstream) return;
+  guard.noteBroken(toCheckedUpstream(upstream), fingerprint, hasReceivedEvents);
+}
+
+function toCheckedUpstream(
+  { id, address, port, state }: Host,
+): CheckedUpstream {
+  return {
+    id,
+    shortName: hashText(id),
+    address: `${address}:${port}`,
+    isEndExpected: state === "leaving",
+  };
+}
--- a/src/entry/retry_budget.ts
+++ b/src/entry/retry_budget.ts
@@ -1,28 +1,29 @@
-/** Allows retries as a part of recent first attempts, so that an outage never multiplies the load. */
+/** Limits retries to a fraction of recent requests, so that an outage does not multiply the load.
+ * A token bucket: each request adds a fraction of a token, each retry takes one. */
 export class RetryBudget {
   private tokens: number;
 
   private constructor(
-    private readonly ratio: number,
-    private readonly reserve: number,
+    private readonly tokensPerRequest: number,
+    private readonly maxTokens: number,
   ) {
-    this.tokens = reserve;
+    this.tokens = maxTokens;
   }
 
   /** Creates a full budget.
-   * @param ratio Retries earned by each first attempt.
-   * @param reserve Most retries that are saved up. */
-  static create(ratio: number, reserve: number): RetryBudget {
-    return new RetryBudget(ratio, reserve);
+   * @param tokensPerRequest Retries that each request adds to the budget.
+   * @param maxTokens Maximum number of retries in the budget. */
+  static create(tokensPerRequest: number, maxTokens: number): RetryBudget {
+    return new RetryBudget(tokensPerRequest, maxTokens);
   }
 
-  /** Records a first attempt. */
-  earn(): void {
-    this.tokens = Math.min(this.reserve, this.tokens + this.ratio);
+  /** Adds the tokens of a new request. */
+  recordRequest(): void {
+    this.tokens = Math.min(this.maxTokens, this.tokens + this.tokensPerRequest);
   }
 
-  /** Takes a retry; returns whether there was one. */
-  spend(): boolean {
+  /** Takes a token for a retry; returns false if the budget is exhausted. */
+  tryAcquire(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
--- a/src/entry/routed_request.ts
+++ b/src/entry/routed_request.ts
@@ -2,29 +2,29 @@
 import type { RequestIdentity } from "../hashing/request_fingerprint.ts";
 import type { Requirement } from "../placement/placement_table.ts";
 
-/** A caller's request after all checks. */
+/** A validated request of a caller. */
 export interface RoutedRequest {
   requestId: string;
   work: "chat" | "call";
-  need: Requirement;
-  /** What decides the order of upstreams: the chat's key, or the request's id. */
+  requirement: Requirement;
+  /** Determines the order of candidate upstreams: the key of the chat, or the id of the request. */
   placementKey: string;
   customer: Customer;
   method: string;
   path: string;
   headers: Record<string, string>;
   body: Buffer;
-  /** Whether it may run more than once. */
+  /** Whether the request may run more than once. */
   repeatable: boolean;
-  /** Idempotency key, where the caller gave one. */
+  /** Idempotency key, if the caller sent one. */
   key: string | undefined;
-  /** Monotonic milliseconds at which the caller no longer waits. */
+  /** Deadline of the caller, in monotonic milliseconds. */
   deadlineAt: number;
 }
 
-/** What makes a request the same as another, sent again.
+/** Returns the parts of a request that are equal when it is sent again.
  * @param request The request. */
-export function identify(request: RoutedRequest): RequestIdentity {
+export function getRequestIdentity(request: RoutedRequest): RequestIdentity {
   const { method, path, customer, body } = request;
   return { method, path, customer: customer.id, body };
 }
--- a/src/entry/routes.ts
+++ b/src/entry/routes.ts
@@ -10,7 +10,7 @@
 } from "./operator_handlers.ts";
 import { handleService, SERVICE_PREFIX } from "./service_handler.ts";
 
-/** Path to method to handler. */
+/** Request handlers by path and method. */
 const ROUTES: Readonly<
   Record<string, Readonly<Record<string, RequestHandler>>>
 > = {
@@ -22,7 +22,7 @@
   "/explain": { GET: handleExplain },
 };
 
-/** Returns the handler of a request, or throws where there is none.
+/** Returns the handler of a request; throws if the path or the method is unknown.
  * @param method The request's method.
  * @param path The request's path. */
 export function getHandlerOrThrow(
--- a/src/entry/run_request.ts
+++ b/src/entry/run_request.ts
@@ -5,72 +5,77 @@
 import { KeyClaim } from "../witness/key_claim.ts";
 import { readKeyTime } from "../witness/key_time.ts";
 import type { KeyRecord } from "../witness/key_record.ts";
-import { signalWhenGone } from "./caller_checks.ts";
+import { createDisconnectSignal } from "./caller_checks.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { KeptAnswer, Outcome } from "./outcome_store.ts";
-import { identify, type RoutedRequest } from "./routed_request.ts";
+import type { Outcome, StoredResponse } from "./outcome_store.ts";
+import { getRequestIdentity, type RoutedRequest } from "./routed_request.ts";
 import { StreamSink } from "./stream_sink.ts";
-import { WholeSink } from "./whole_sink.ts";
+import { BufferedSink } from "./buffered_sink.ts";
 
-/** Attempts given up elsewhere that one request replaces before it is refused. */
-const MAX_REPLACED = 3;
+/** Maximum number of claims for one request; each after the first replaces an attempt that its holder has released. */
+const MAX_CLAIMS = 3;
 
-/** Characters of a request's hash that are compared. */
-const FINGERPRINT_LENGTH = 32;
+/** Number of hexadecimal digits of a request's hash that are compared. */
+const FINGERPRINT_HEX_LENGTH = 32;
 
-/** Turns a whole answer into the one that is sent, where the two differ. */
-export type AnswerShaper = (answer: KeptAnswer) => KeptAnswer;
+/** Transforms a complete response of an upstream into the response for the caller. */
+export type ResponseTransform = (response: StoredResponse) => StoredResponse;
 
-/** Runs a request whose answer is passed on as it comes.
- * @param context What the handler works with.
- * @param request The request; it may be repeated.
+/** Runs a request and streams its response to the caller.
+ * @param context Dependencies of the handler.
+ * @param request The request, which has no idempotency key.
  * @param response The caller's response. */
-export async function runStreamed(
+export async function runStreaming(
   context: EntryContext,
   request: RoutedRequest,
   response: ServerResponse,
 ): Promise<void> {
   const sink = StreamSink.create(response, request.requestId);
-  await context.dispatcher.dispatch(request, sink, signalWhenGone(response));
+  await context.dispatcher.dispatch(
+    request,
+    sink,
+    createDisconnectSignal(response),
+  );
 }
 
-/** Runs a request whose answer is sent when it is whole; under an idempotency key at most once in the fleet.
- * @param context What the handler works with.
+/** Runs a request and sends its response when it is complete.
+ * A request with an idempotency key runs at most once in the fleet.
+ * @param context Dependencies of the handler.
  * @param request The request.
  * @param response The caller's response.
- * @param shape Turns the upstream's answer into the caller's. */
-export async function runWhole(
+ * @param transform Transforms the upstream's response into the caller's. */
+export async function runBuffered(
   context: EntryContext,
   request: RoutedRequest,
   response: ServerResponse,
-  shape: AnswerShaper,
+  transform: ResponseTransform,
 ): Promise<void> {
-  const answer = request.key === undefined
-    ? await dispatchWhole(context, request, response, shape)
-    : await runKeyed(context, request, request.key, response, shape);
-  if (answer instanceof Failure) throw answer;
-  response.writeHead(answer.status, {
-    ...answer.headers,
+  const result = request.key === undefined
+    ? await dispatchUnkeyed(context, request, response, transform)
+    : await runIdempotent(context, request, request.key, response, transform);
+  if (result instanceof Failure) throw result;
+  response.writeHead(result.status, {
+    ...result.headers,
     "x-request-id": request.requestId,
   });
-  response.end(answer.body);
+  response.end(result.body);
 }
 
-async function runKeyed(
+async function runIdempotent(
   context: EntryContext,
   request: RoutedRequest,
   key: string,
   response: ServerResponse,
-  shape: AnswerShaper,
-): Promise<KeptAnswer | Failure> {
-  checkAge(context, key);
+  transform: ResponseTransform,
+): Promise<StoredResponse | Failure> {
+  assertKeyNotExpired(context, key);
   let replaces = "";
-  for (let count = 0; count < MAX_REPLACED; count++) {
+  for (let count = 0; count < MAX_CLAIMS; count++) {
     const claim = createClaim(context, request, key);
     context.outcomes.open(claim.attempt, Date.now());
     const verdict = await claim.ask(replaces);
     if (verdict.type === "claimed") {
-      return await runClaimed(context, request, claim, response, shape);
+      return await runClaimed(context, request, claim, response, transform);
     }
     context.outcomes.settle(claim.attempt, { state: "released" });
     if (verdict.type === "unconfirmed") {
@@ -79,9 +84,9 @@
         "too few routers that remember the key were reached",
       );
     }
-    const outcome = await askHolder(context, request, verdict.record);
+    const outcome = await requestOutcome(context, request, verdict.record);
     if (outcome instanceof Failure) return outcome;
-    if (outcome.state === "done") return replay(outcome.answer);
+    if (outcome.state === "done") return markReplayed(outcome.answer);
     if (outcome.state === "unknown") {
       return Failure.create(
         "outcome_unknown",
@@ -101,60 +106,69 @@
   request: RoutedRequest,
   claim: KeyClaim,
   response: ServerResponse,
-  shape: AnswerShaper,
-): Promise<KeptAnswer | Failure> {
-  const end = await dispatchTo(context, request, response, shape);
-  context.outcomes.settle(claim.attempt, end.outcome);
-  if (end.outcome.state === "released") await claim.release();
-  return end.result;
+  transform: ResponseTransform,
+): Promise<StoredResponse | Failure> {
+  const dispatched = await dispatchBuffered(
+    context,
+    request,
+    response,
+    transform,
+  );
+  context.outcomes.settle(claim.attempt, dispatched.outcome);
+  if (dispatched.outcome.state === "released") await claim.release();
+  return dispatched.result;
 }
 
-/** Runs the request and says both what the caller gets and what is kept of it. */
-async function dispatchTo(
+/** Dispatches a request into a buffer; returns the result for the caller and the outcome for the outcome store. */
+async function dispatchBuffered(
   context: EntryContext,
   request: RoutedRequest,
   response: ServerResponse,
-  shape: AnswerShaper,
-): Promise<{ result: KeptAnswer | Failure; outcome: Outcome }> {
-  let result: KeptAnswer | Failure = Failure.create(
+  transform: ResponseTransform,
+): Promise<{ result: StoredResponse | Failure; outcome: Outcome }> {
+  let result: StoredResponse | Failure = Failure.create(
     "internal",
     "the request ended without an answer",
   );
-  const sink = WholeSink.create(
-    (answer) => result = shape(answer),
+  const sink = BufferedSink.create(
+    (upstreamResponse) => result = transform(upstreamResponse),
     (failure) => result = failure,
     () => response.destroyed,
   );
-  const callerGone = request.repeatable
-    ? signalWhenGone(response)
+  const disconnectSignal = request.repeatable
+    ? createDisconnectSignal(response)
     : new AbortController().signal;
-  const end = await context.dispatcher.dispatch(request, sink, callerGone);
-  if (end.type === "done") {
+  const dispatchResult = await context.dispatcher.dispatch(
+    request,
+    sink,
+    disconnectSignal,
+  );
+  if (dispatchResult.type === "done") {
     return {
       result,
-      outcome: { state: "done", answer: result as unknown as KeptAnswer },
+      outcome: { state: "done", answer: result as unknown as StoredResponse },
     };
   }
   return {
     result,
-    outcome: { state: end.mayHaveRun ? "unknown" : "released" },
+    outcome: { state: dispatchResult.mayHaveRun ? "unknown" : "released" },
   };
 }
 
-async function dispatchWhole(
+async function dispatchUnkeyed(
   context: EntryContext,
   request: RoutedRequest,
   response: ServerResponse,
-  shape: AnswerShaper,
-): Promise<KeptAnswer | Failure> {
-  return (await dispatchTo(context, request, response, shape)).result;
+  transform: ResponseTransform,
+): Promise<StoredResponse | Failure> {
+  return (await dispatchBuffered(context, request, response, transform)).result;
 }
 
-function checkAge(context: EntryContext, key: string): void {
-  const madeAt = readKeyTime(key);
+function assertKeyNotExpired(context: EntryContext, key: string): void {
+  const createdAt = readKeyTime(key);
   if (
-    madeAt !== undefined &&
-    Date.now() - madeAt > context.settings.keys.rememberMs
+    createdAt !== undefined &&
+    Date.now() - createdAt > context.settings.keys.rememberMs
   ) {
     throw Failure.create(
       "outcome_unknown",
@@ -163,14 +177,14 @@
   }
 }
 
-/** Keys of different customers never meet. */
-function nameKey(request: RoutedRequest, key: string): string {
+/** Prefixes a key with the customer's id, so that keys of different customers cannot collide. */
+function scopeKey(request: RoutedRequest, key: string): string {
   return `${request.customer.id}/${key}`;
 }
 
-function fingerprint(request: RoutedRequest): string {
-  return hashRequest(identify(request)).toString("hex")
-    .slice(0, FINGERPRINT_LENGTH);
+function getFingerprint(request: RoutedRequest): string {
+  return hashRequest(getRequestIdentity(request)).toString("hex")
+    .slice(0, FINGERPRINT_HEX_LENGTH);
 }
 
 function createClaim(
@@ -184,16 +198,20 @@
     getView: context.getView,
     voteTimeoutMs: context.settings.keys.voteTimeoutMs,
   };
-  return KeyClaim.create(options, nameKey(request, key), fingerprint(request));
+  return KeyClaim.create(
+    options,
+    scopeKey(request, key),
+    getFingerprint(request),
+  );
 }
 
-/** Asks the router that holds a key for the outcome; a key that came with another request is refused. */
-async function askHolder(
+/** Requests the outcome from the router that holds a key; fails if the key was used with another request. */
+async function requestOutcome(
   context: EntryContext,
   request: RoutedRequest,
   record: KeyRecord,
 ): Promise<Outcome | Failure> {
-  if (record.fingerprint !== fingerprint(request)) {
+  if (record.fingerprint !== getFingerprint(request)) {
     return Failure.create(
       "key_reused",
       "header idempotency-key: another request had it",
@@ -202,24 +220,24 @@
   const waitMs = Math.max(1, request.deadlineAt - readClock());
   const build = (exchange: number) =>
     ({ type: "outcome", exchange, attempt: record.attempt, waitMs }) as const;
-  const answer = await context.directory.ask(
+  const frame = await context.directory.ask(
     record.holder,
     build,
     "outcome_is",
     waitMs,
   );
-  if (!answer || answer.state === "unknown") return { state: "unknown" };
-  if (answer.state === "released") return { state: "released" };
-  const { status, headers, body } = answer;
+  if (!frame || frame.state === "unknown") return { state: "unknown" };
+  if (frame.state === "released") return { state: "released" };
+  const { status, headers, body } = frame;
   return {
     state: "done",
     answer: { status, headers, body: Buffer.from(body) },
   };
 }
 
-function replay(answer: KeptAnswer): KeptAnswer {
+function markReplayed(response: StoredResponse): StoredResponse {
   return {
-    ...answer,
-    headers: { ...answer.headers, "x-beechkeel-replayed": "yes" },
+    ...response,
+    headers: { ...response.headers, "x-beechkeel-replayed": "yes" },
   };
 }
--- a/src/entry/send_grant.ts
+++ b/src/entry/send_grant.ts
@@ -1,28 +1,28 @@
-/** The one permission to send a request that may not be repeated. */
+/** Exclusive permission to send a request that is not repeatable; one attempt at a time can hold it. */
 export class SendGrant {
-  private isTaken = false;
+  private acquired = false;
 
   private constructor() {}
 
-  /** Creates a grant that nobody has taken. */
+  /** Creates a grant that is not acquired. */
   static create(): SendGrant {
     return new SendGrant();
   }
 
   /** Whether the request may have been sent. */
-  get taken(): boolean {
-    return this.isTaken;
+  get isAcquired(): boolean {
+    return this.acquired;
   }
 
-  /** Takes the grant; returns whether it was there to take. */
-  take(): boolean {
-    if (this.isTaken) return false;
-    this.isTaken = true;
+  /** Acquires the grant; returns false if it is already acquired. */
+  tryAcquire(): boolean {
+    if (this.acquired) return false;
+    this.acquired = true;
     return true;
   }
 
-  /** Takes the grant back, from an owner that says it sent nothing and will not. */
-  giveBack(): void {
-    this.isTaken = false;
+  /** Releases the grant, once the router that received it has confirmed that it sent nothing and will not. */
+  release(): void {
+    this.acquired = false;
   }
 }
--- a/src/entry/send_json.ts
+++ b/src/entry/send_json.ts
@@ -1,9 +1,9 @@
 import type { ServerResponse } from "node:http";
 
-/** Sends a JSON answer.
+/** Sends a JSON response.
  * @param response The caller's response.
  * @param status HTTP status code.
- * @param value What to send. */
+ * @param value The value to serialize. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/src/entry/service_handler.ts
+++ b/src/entry/service_handler.ts
@@ -1,30 +1,30 @@
 import { v4 as createUuid } from "uuid";
 import { Failure } from "../errors/failure.ts";
 import {
-  checkServing,
+  assertServing,
   getCustomerOrThrow,
   getDeadline,
-  getKey,
+  getIdempotencyKey,
   isRepeatable,
 } from "./caller_checks.ts";
-import type { EntryContext, Exchange } from "./entry_context.ts";
+import type { EntryContext, HttpExchange } from "./entry_context.ts";
 import { readBody } from "./read_body.ts";
-import { runWhole } from "./run_request.ts";
+import { runBuffered } from "./run_request.ts";
 
-/** Where calls to plain services start. */
+/** Path prefix of calls to services. */
 export const SERVICE_PREFIX = "/v1/services/";
 
 const SAFE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD"]);
 
-/** Answers a call to a plain service; a method that is not safe may not be repeated unless the caller says so.
- * @param context What the handler works with.
- * @param exchange The caller's request. */
+/** Handles a call to a service. A method that is not safe is not repeatable unless the caller allows it.
+ * @param context Dependencies of the handler.
+ * @param exchange The request and its response. */
 export async function handleService(
   context: EntryContext,
-  exchange: Exchange,
+  exchange: HttpExchange,
 ): Promise<void> {
   const { request, response, url } = exchange;
-  checkServing(context);
+  assertServing(context);
   const customer = getCustomerOrThrow(context, request);
   const [service = "", ...rest] = url.pathname.slice(SERVICE_PREFIX.length)
     .split("/");
@@ -32,7 +32,7 @@
     throw Failure.create("unknown_service", `path: ${service}`);
   }
   const method = request.method ?? "GET";
-  const key = getKey(request);
+  const key = getIdempotencyKey(request);
   const requestId = createUuid();
   const headers: Record<string, string> = {
     "content-type": request.headers["content-type"] ??
@@ -42,7 +42,7 @@
   const routed = {
     requestId,
     work: "call" as const,
-    need: { role: "service" as const, service },
+    requirement: { role: "service" as const, service },
     placementKey: requestId,
     customer,
     method,
@@ -53,5 +53,10 @@
     key,
     deadlineAt: getDeadline(context, request),
   };
-  await runWhole(context, routed, response, (answer) => answer);
+  await runBuffered(
+    context,
+    routed,
+    response,
+    (upstreamResponse) => upstreamResponse,
+  );
 }
--- a/src/entry/stream_sink.ts
+++ b/src/entry/stream_sink.ts
@@ -1,10 +1,10 @@
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import { Failure } from "../errors/failure.ts";
-import type { AnswerSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./answer_sink.ts";
 
-/** Passes a stream of events on to the caller as they come. */
-export class StreamSink implements AnswerSink {
+/** Streams a response to the caller, respecting back-pressure. */
+export class StreamSink implements ResponseSink {
   private constructor(
     private readonly response: ServerResponse,
     private readonly requestId: string,
@@ -12,7 +12,7 @@
 
   /** Creates a sink.
    * @param response The caller's response.
-   * @param requestId Put on the answer. */
+   * @param requestId Sent in the `x-request-id` header. */
   static create(response: ServerResponse, requestId: string): StreamSink {
     return new StreamSink(response, requestId);
   }
@@ -43,13 +43,13 @@
     if (this.isClosed || this.response.write(bytes)) return;
     const abort = new AbortController();
     const signal = abort.signal;
-    const ways = [
+    const waits = [
       once(this.response, "drain", { signal }),
       once(this.response, "close", { signal }),
     ];
-    await Promise.race(ways).catch(() => undefined);
+    await Promise.race(waits).catch(() => undefined);
     abort.abort();
-    await Promise.allSettled(ways);
+    await Promise.allSettled(waits);
   }
 
   end(): void {
