--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -97,7 +97,10 @@
       ...shared,
       directory: this.directory,
     });
-    this.witness = Witness.create({ ...shared, directory: this.directory });
+    this.witness = Witness.create({
+      ...shared,
+      connectionPool: this.directory,
+    });
     this.owner = Owner.create({
       ...shared,
       onLoadGrew: () => this.membership?.pushLoads(),
@@ -285,7 +288,7 @@
     this.view = view;
     this.placement = PlacementTable.create(view, this.settings.region);
     this.directory.dropLost(view);
-    this.witness.offerView(view);
+    this.witness.handleViewChange(view);
   }
 
   private onPause(gapMs: number): void {
--- a/src/witness/key_claim.ts
+++ b/src/witness/key_claim.ts
@@ -6,16 +6,16 @@
 import { Random } from "../random/random.ts";
 import type { KeyRecord } from "./key_record.ts";
 import { readKeyTime } from "./key_time.ts";
-import { countVotes, type VoteVerdict } from "./vote_count.ts";
+import { countVotes, type VoteResult } from "./vote_count.ts";
 import { getWitnesses } from "./witness_set.ts";
 
-const MAX_ROUNDS = 6;
-/** Pause of the attempt that began first, which the others let pass. */
-const FIRST_PAUSE_MS = 10;
-const LEAST_PAUSE_MS = 40;
-const MOST_PAUSE_MS = 120;
+const MAX_VOTE_ROUNDS = 6;
+/** Backoff of the earlier of two competing attempts, shorter than that of the later one, which gives way to it. */
+const EARLIER_ATTEMPT_BACKOFF_MS = 10;
+const MIN_BACKOFF_MS = 40;
+const MAX_BACKOFF_MS = 120;
 
-/** What a claim needs of the rest of the router. */
+/** Dependencies of a `KeyClaim`. */
 export interface KeyClaimOptions {
   ownId: string;
   directory: PeerDirectory;
@@ -23,7 +23,7 @@
   voteTimeoutMs: number;
 }
 
-/** Asks the witnesses of a key whether this router's attempt is the one that may run. */
+/** Claims an idempotency key for one attempt of this router by a majority vote of the key's witnesses. */
 export class KeyClaim {
   private readonly random = Random.create();
   private lastVotes: (FrameOf<"voted"> & { witness: string })[] = [];
@@ -32,12 +32,11 @@
     private readonly options: KeyClaimOptions,
     private readonly key: string,
     private readonly fingerprint: string,
-    /** Id of the attempt. */
+    /** Id of the attempt, a version 7 UUID, so that ids of later attempts compare greater. */
     readonly attempt: string,
   ) {}
 
-  /** Creates a claim; nothing is asked yet.
-   * @param options What it needs.
+  /** Creates a claim without contacting any witness.
    * @param key The idempotency key.
    * @param fingerprint Hash of the request. */
   static create(
@@ -48,37 +47,38 @@
     return new KeyClaim(options, key, fingerprint, createUuid());
   }
 
-  /** Asks until one attempt has won; an attempt that did not is released everywhere.
-   * @param replaces Attempt that its holder gave up, or nothing. */
-  async ask(replaces = ""): Promise<VoteVerdict> {
-    let verdict: VoteVerdict = { type: "unconfirmed" };
-    for (let round = 0; round < MAX_ROUNDS; round++) {
-      verdict = await this.askOnce(replaces);
-      if (verdict.type !== "held") return verdict;
-      if (!this.isContested(verdict.record)) break;
-      const isFirst = this.attempt < verdict.record.attempt;
+  /** Runs vote rounds until the vote is not split or `MAX_VOTE_ROUNDS` is reached. After each round that this attempt
+   * did not win, it is released at all witnesses.
+   * @param replaces Id of an attempt that its holder gave up and this one replaces, or an empty string. */
+  async ask(replaces = ""): Promise<VoteResult> {
+    let result: VoteResult = { type: "unconfirmed" };
+    for (let round = 0; round < MAX_VOTE_ROUNDS; round++) {
+      result = await this.runVoteRound(replaces);
+      if (result.type !== "held") return result;
+      if (!this.isSplitVote(result.record)) break;
+      const isEarlier = this.attempt < result.record.attempt;
       await delay(
-        isFirst
-          ? FIRST_PAUSE_MS
-          : this.random.integer(LEAST_PAUSE_MS, MOST_PAUSE_MS),
+        isEarlier
+          ? EARLIER_ATTEMPT_BACKOFF_MS
+          : this.random.integer(MIN_BACKOFF_MS, MAX_BACKOFF_MS),
       );
     }
-    if (verdict.type === "held" && !this.isContested(verdict.record)) {
-      await this.repair(verdict.record);
+    if (result.type === "held" && !this.isSplitVote(result.record)) {
+      await this.repairWitnesses(result.record);
     }
-    return verdict;
+    return result;
   }
 
-  /** Gives the record of another attempt to the witnesses that do not have it. */
-  private async repair(record: KeyRecord): Promise<void> {
+  /** Sends the record of the attempt that won to the witnesses that did not report it (read repair). */
+  private async repairWitnesses(record: KeyRecord): Promise<void> {
     const { attempt, holder, fingerprint } = record;
-    const knowing = new Set(
+    const upToDate = new Set(
       this.lastVotes.filter((vote) => vote.attempt === attempt).map((vote) =>
         vote.witness
       ),
     );
-    const lacking = this.getWitnesses().filter((id) => !knowing.has(id));
-    await Promise.all(lacking.map(async (id) => {
+    const outdated = this.getWitnesses().filter((id) => !upToDate.has(id));
+    await Promise.all(outdated.map(async (id) => {
       const client = await this.options.directory.getClient(id);
       client?.send({
         type: "record",
@@ -91,7 +91,7 @@
     }));
   }
 
-  /** Tells the witnesses that the attempt was certainly not run. */
+  /** Tells the witnesses that the attempt was certainly not run, so that they drop its record. */
   async release(): Promise<void> {
     await Promise.all(
       this.getWitnesses().map(async (id) => {
@@ -106,30 +106,30 @@
     );
   }
 
-  private async askOnce(replaces: string): Promise<VoteVerdict> {
+  private async runVoteRound(replaces: string): Promise<VoteResult> {
     const witnesses = this.getWitnesses();
-    const answers = await Promise.all(
-      witnesses.map((id) => this.askWitness(id, replaces)),
+    const responses = await Promise.all(
+      witnesses.map((id) => this.requestVote(id, replaces)),
     );
-    const votes = answers.flatMap((vote, index) =>
+    const votes = responses.flatMap((vote, index) =>
       vote ? [{ ...vote, witness: witnesses[index]! }] : []
     );
     this.lastVotes = votes;
-    const verdict = countVotes(
+    const result = countVotes(
       this.attempt,
       witnesses.length,
       votes,
       readKeyTime(this.key) !== undefined,
     );
-    if (verdict.type !== "claimed") await this.release();
-    return verdict;
+    if (result.type !== "claimed") await this.release();
+    return result;
   }
 
-  /** Whether the other attempt has not won either, so that both should ask again. */
-  private isContested(record: KeyRecord): boolean {
-    const forOther =
+  /** Whether the other attempt lacks a majority too (a split vote), so that both have to run another round. */
+  private isSplitVote(record: KeyRecord): boolean {
+    const otherVotes =
       this.lastVotes.filter((vote) => vote.attempt === record.attempt).length;
-    return forOther * 2 <= this.getWitnesses().length;
+    return otherVotes * 2 <= this.getWitnesses().length;
   }
 
   private getWitnesses(): string[] {
@@ -139,13 +139,13 @@
     );
   }
 
-  private async askWitness(
+  private async requestVote(
     id: string,
     replaces: string,
   ): Promise<FrameOf<"voted"> | undefined> {
     const { directory, ownId, voteTimeoutMs } = this.options;
     const { key, fingerprint, attempt } = this;
-    const build = (exchange: number) =>
+    const buildFrame = (exchange: number) =>
       ({
         type: "vote",
         exchange,
@@ -155,6 +155,6 @@
         holder: ownId,
         replaces,
       }) as const;
-    return await directory.ask(id, build, "voted", voteTimeoutMs);
+    return await directory.ask(id, buildFrame, "voted", voteTimeoutMs);
   }
 }
--- a/src/witness/key_record.ts
+++ b/src/witness/key_record.ts
@@ -1,9 +1,9 @@
-/** What a witness remembers of an idempotency key. */
+/** A witness's record of an idempotency key. */
 export interface KeyRecord {
-  /** Hash of the request the key came with. */
+  /** Hash of the request that carried the key. */
   fingerprint: string;
-  /** The one attempt that may run. */
+  /** Id of the only attempt that may run. */
   attempt: string;
-  /** Router that makes the attempt. */
+  /** Id of the router that makes the attempt. */
   holder: string;
 }
--- a/src/witness/vote_count.ts
+++ b/src/witness/vote_count.ts
@@ -1,34 +1,37 @@
 import type { FrameOf } from "../peer/frame_schema.ts";
 import type { KeyRecord } from "./key_record.ts";
 
-/** What the votes on an attempt say. */
-export type VoteVerdict =
+/** Result of a vote on an attempt: it may run, another attempt holds the key, or too few witnesses confirmed it. */
+export type VoteResult =
   | { type: "claimed" }
   | { type: "held"; record: KeyRecord }
   | { type: "unconfirmed" };
 
 /** Decides from the votes whether an attempt may run.
- * It may where a majority of witnesses that would know of any earlier attempt recorded it, or all witnesses did;
- * with a key that tells its time, one of all must know, which a fleet that just started does.
- * Two attempts with one key can never both have that, for each witness records one of them.
- * @param attempt The attempt.
- * @param witnessCount Number of witnesses asked.
- * @param votes The votes that came.
- * @param tellsTime Whether the key tells when it was made. */
+ * A settled witness is one that would know of any earlier attempt with the key. An attempt may run if a majority of
+ * the witnesses recorded it and are settled, or if all witnesses recorded it. In the second case, a key with a
+ * timestamp needs one settled witness too, which it has in a fleet that has just started.
+ * Two attempts with one key cannot both satisfy this, because each witness records only one of them.
+ * @param attempt Id of the attempt.
+ * @param witnessCount Number of witnesses that were asked.
+ * @param votes The votes received.
+ * @param hasTimestamp Whether the key contains its time of creation. */
 export function countVotes(
   attempt: string,
   witnessCount: number,
   votes: readonly FrameOf<"voted">[],
-  tellsTime: boolean,
-): VoteVerdict {
+  hasTimestamp: boolean,
+): VoteResult {
   const majority = Math.floor(witnessCount / 2) + 1;
-  const mine = votes.filter((vote) => vote.attempt === attempt);
-  const settled = mine.filter((vote) => vote.settled).length;
-  const isUnanimous = mine.length === witnessCount &&
-    (settled > 0 || !tellsTime);
-  if (witnessCount > 0 && (settled >= majority || isUnanimous)) {
+  const ownVotes = votes.filter((vote) => vote.attempt === attempt);
+  const settledCount = ownVotes.filter((vote) => vote.settled).length;
+  const isUnanimous = ownVotes.length === witnessCount &&
+    (settledCount > 0 || !hasTimestamp);
+  if (witnessCount > 0 && (settledCount >= majority || isUnanimous)) {
     return { type: "claimed" };
   }
-  const other = votes.find((vote) => vote.attempt !== attempt);
-  return other ? { type: "held", record: other } : { type: "unconfirmed" };
+  const otherVote = votes.find((vote) => vote.attempt !== attempt);
+  return otherVote
+    ? { type: "held", record: otherVote }
+    : { type: "unconfirmed" };
 }
--- a/src/witness/witness.ts
+++ b/src/witness/witness.ts
@@ -6,20 +6,20 @@
 import type { FrameOf } from "../peer/frame_schema.ts";
 import type { PeerDirectory } from "../peer/peer_directory.ts";
 import type { Settings } from "../settings/settings_schema.ts";
-import { KeyRegister } from "./key_register.ts";
-import { Tenure } from "./tenure.ts";
+import { KeyRecordStore } from "./key_record_store.ts";
+import { WitnessHistory } from "./witness_history.ts";
 import { getWitnesses } from "./witness_set.ts";
 
-const EXPIRE_INTERVAL_MS = 5_000;
+const EXPIRY_INTERVAL_MS = 5_000;
 const PULL_TIMEOUT_MS = 2_000;
 const SYNCHRONIZE_RETRY_MS = 250;
 
-/** What a witness needs of the rest of the router. */
+/** Dependencies of a `Witness`. */
 export interface WitnessOptions {
   settings: Settings;
   system: ActorSystem;
   logger: Logger;
-  directory: PeerDirectory;
+  connectionPool: PeerDirectory;
 }
 
 type WitnessMessages = {
@@ -33,84 +33,85 @@
   expire: null;
 };
 
-/** The task that remembers idempotency keys for other routers and votes on attempts. */
+/** Actor that stores idempotency-key records for the fleet and votes on attempts. */
 export class Witness {
-  private readonly register: KeyRegister;
-  private readonly tenure: Tenure;
+  private readonly recordStore: KeyRecordStore;
+  private readonly history: WitnessHistory;
   private readonly actor: Actor<WitnessMessages>;
   private readonly timer: NodeJS.Timeout;
   private routerIds: readonly string[] = [];
   private isClosed = false;
 
   private constructor(private readonly options: WitnessOptions) {
-    this.register = KeyRegister.create(options.settings.keys.rememberMs);
-    this.tenure = Tenure.create(options.settings.id);
+    this.recordStore = KeyRecordStore.create(options.settings.keys.rememberMs);
+    this.history = WitnessHistory.create(options.settings.id);
     this.actor = Actor.create<WitnessMessages>(options.system, "witness", {
       vote: ({ port, frame }) => this.vote(port, frame),
-      release: (frame) => this.register.release(frame.key, frame.attempt),
-      record: (frame) => this.takeRecord(frame),
-      view: (view) => this.takeView(view),
-      pull: ({ port, frame }) => this.answerPull(port, frame),
-      synchronized: (at) => this.tenure.markSynchronized(at),
-      drain: (done) => this.handOverAll().finally(done),
-      expire: () => this.register.expire(Date.now()),
+      release: (frame) => this.recordStore.release(frame.key, frame.attempt),
+      record: (frame) => this.storeRecord(frame),
+      view: (view) => this.applyView(view),
+      pull: ({ port, frame }) => this.sendRecords(port, frame),
+      synchronized: (at) => this.history.markSynchronized(at),
+      drain: (done) => this.transferAllRecords().finally(done),
+      expire: () => this.recordStore.expire(Date.now()),
     }, options.logger);
     this.timer = setInterval(
       () => this.actor.tell("expire", null),
-      EXPIRE_INTERVAL_MS,
+      EXPIRY_INTERVAL_MS,
     );
   }
 
-  /** Creates a witness that remembers nothing yet.
-   * @param options What it needs. */
+  /** Creates a witness without records. */
   static create(options: WitnessOptions): Witness {
     return new Witness(options);
   }
 
-  /** What operators see of the witness. */
+  /** Returns the witness part of the status answer. */
   describe(): { keys: number; synchronized: boolean } {
     return {
-      keys: this.register.getRecords().size,
-      synchronized: this.tenure.isSynchronized,
+      keys: this.recordStore.getRecords().size,
+      synchronized: this.history.isSynchronized,
     };
   }
 
-  /** Votes on an attempt; the answer goes to the port.
-   * @param port Connection to the entry.
-   * @param frame The attempt. */
-  offerVote(port: FramePort, frame: FrameOf<"vote">): void {
+  /** Votes on an attempt and sends the vote to the port.
+   * @param port Connection to the router that requests the vote.
+   * @param frame The vote request. */
+  handleVote(port: FramePort, frame: FrameOf<"vote">): void {
     this.actor.tell("vote", { port, frame });
   }
 
-  /** Forgets an attempt that was not run.
-   * @param frame The attempt. */
-  offerRelease(frame: FrameOf<"release">): void {
+  /** Removes the record of an attempt that was not run.
+   * @param frame Key and id of the attempt. */
+  handleRelease(frame: FrameOf<"release">): void {
     this.actor.tell("release", frame);
   }
 
-  /** Takes a record over from another witness.
+  /** Stores a record sent by another router, unless the key has one.
    * @param frame The record. */
-  offerRecord(frame: FrameOf<"record">): void {
+  handleRecord(frame: FrameOf<"record">): void {
     this.actor.tell("record", frame);
   }
 
-  /** Sends a witness the records it should have.
-   * @param port Connection to the witness.
-   * @param frame Which witness asks. */
-  offerPull(port: FramePort, frame: FrameOf<"pull_records">): void {
+  /** Sends another router the records of the keys that it is a witness of.
+   * @param port Connection to that router.
+   * @param frame Names that router. */
+  handleRecordPull(port: FramePort, frame: FrameOf<"pull_records">): void {
     this.actor.tell("pull", { port, frame });
   }
 
-  /** Asks all other routers for the records this one should have, until all have answered.
-   * Then it knows every attempt that the others do, and counts as settled. */
+  /** Pulls the records of the keys that this router is a witness of from all other routers, and retries until all have
+   * answered in one round. This router then knows every attempt that the others know, and counts as settled. */
   async synchronize(): Promise<void> {
     while (!this.isClosed) {
       const startedAt = Date.now();
       const others = this.routerIds.filter((id) =>
         id !== this.options.settings.id
       );
-      const pulls = await Promise.all(others.map((id) => this.pullFrom(id)));
-      if (this.routerIds.length > 0 && pulls.every((worked) => worked)) {
+      const pulls = await Promise.all(
+        others.map((id) => this.pullRecordsFrom(id)),
+      );
+      if (this.routerIds.length > 0 && pulls.every((succeeded) => succeeded)) {
         this.actor.tell("synchronized", startedAt);
         return;
       }
@@ -118,13 +119,13 @@
     }
   }
 
-  /** Takes over the present view of the fleet.
+  /** Applies a new view of the fleet.
    * @param view The view. */
-  offerView(view: FleetView): void {
+  handleViewChange(view: FleetView): void {
     this.actor.tell("view", view);
   }
 
-  /** Hands all records to those who will be witnesses when this router is gone. */
+  /** Sends all records to the routers that become witnesses of their keys when this router leaves. */
   async drain(): Promise<void> {
     await new Promise<void>((resolve) => this.actor.tell("drain", resolve));
   }
@@ -140,94 +141,99 @@
     const { settleMs, clockSkewMs } = this.options.settings.keys;
     const { key, fingerprint, attempt, holder, replaces } = frame;
     const now = Date.now();
-    const recorded = this.register.testAndSet(
+    const recorded = this.recordStore.compareAndSet(
       key,
       { fingerprint, attempt, holder },
       replaces,
       now,
     );
-    const settled = this.tenure.isSettled(key, settleMs, clockSkewMs, now);
+    const settled = this.history.isSettled(key, settleMs, clockSkewMs, now);
     port.send({
       type: "voted",
       exchange: frame.exchange,
       settled,
-      ...pickRecord(recorded),
+      ...toKeyRecord(recorded),
     });
   }
 
-  private answerPull(port: FramePort, frame: FrameOf<"pull_records">): void {
-    for (const [key, record] of this.register.getRecords()) {
+  private sendRecords(port: FramePort, frame: FrameOf<"pull_records">): void {
+    for (const [key, record] of this.recordStore.getRecords()) {
       if (!getWitnesses(key, this.routerIds).includes(frame.witness)) continue;
       port.send({
         type: "record",
         exchange: frame.exchange,
         key,
-        ...pickRecord(record),
+        ...toKeyRecord(record),
       });
     }
     port.send({ type: "records_sent", exchange: frame.exchange });
   }
 
-  /** Pulls the records that one router has; returns whether it sent them all. */
-  private async pullFrom(routerId: string): Promise<boolean> {
+  /** Pulls the records of one router; returns whether it sent all of them. */
+  private async pullRecordsFrom(routerId: string): Promise<boolean> {
     const witness = this.options.settings.id;
-    return await this.options.directory.gather(
+    return await this.options.connectionPool.gather(
       routerId,
       (exchange) => ({ type: "pull_records", exchange, witness }),
       (frame) => {
         if (frame.type === "records_sent") return "all";
         if (frame.type !== "record") return "wrong";
-        this.offerRecord(frame);
+        this.handleRecord(frame);
         return "more";
       },
       PULL_TIMEOUT_MS,
     );
   }
 
-  private takeRecord(frame: FrameOf<"record">): void {
-    this.register.testAndSet(frame.key, pickRecord(frame), "", Date.now());
+  private storeRecord(frame: FrameOf<"record">): void {
+    this.recordStore.compareAndSet(
+      frame.key,
+      toKeyRecord(frame),
+      "",
+      Date.now(),
+    );
   }
 
-  private async takeView(view: FleetView): Promise<void> {
+  private async applyView(view: FleetView): Promise<void> {
     const routerIds = view.routers.map((router) => router.host.id);
     if (routerIds.join() === this.routerIds.join()) return;
-    const before = this.routerIds;
+    const previousIds = this.routerIds;
     this.routerIds = routerIds;
-    this.tenure.recordList(routerIds, Date.now());
-    await this.handOver(before, routerIds);
+    this.history.recordRouters(routerIds, Date.now());
+    await this.transferRecords(previousIds, routerIds);
   }
 
-  private async handOverAll(): Promise<void> {
+  private async transferAllRecords(): Promise<void> {
     const others = this.routerIds.filter((id) =>
       id !== this.options.settings.id
     );
-    await this.handOver(this.routerIds, others);
+    await this.transferRecords(this.routerIds, others);
   }
 
-  /** Sends each record to the witnesses that are new to its key. */
-  private async handOver(
-    before: readonly string[],
-    after: readonly string[],
+  /** Sends each record to the routers that become witnesses of its key when the list of routers changes. */
+  private async transferRecords(
+    previousIds: readonly string[],
+    currentIds: readonly string[],
   ): Promise<void> {
-    for (const [key, record] of this.register.getRecords()) {
-      const known = new Set(getWitnesses(key, before));
-      const fresh = getWitnesses(key, after).filter((id) =>
-        !known.has(id) && id !== this.options.settings.id
+    for (const [key, record] of this.recordStore.getRecords()) {
+      const previousWitnesses = new Set(getWitnesses(key, previousIds));
+      const newWitnesses = getWitnesses(key, currentIds).filter((id) =>
+        !previousWitnesses.has(id) && id !== this.options.settings.id
       );
-      for (const id of fresh) {
-        const client = await this.options.directory.getClient(id);
+      for (const id of newWitnesses) {
+        const client = await this.options.connectionPool.getClient(id);
         client?.send({
           type: "record",
           exchange: 0,
           key,
-          ...pickRecord(record),
+          ...toKeyRecord(record),
         });
       }
     }
   }
 }
 
-function pickRecord(
+function toKeyRecord(
   record: { fingerprint: string; attempt: string; holder: string },
 ) {
   return {
--- a/src/witness/witness_set.ts
+++ b/src/witness/witness_set.ts
@@ -1,11 +1,11 @@
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 
-/** Witnesses of one key. */
+/** Number of witnesses per key. */
 export const WITNESS_COUNT = 3;
 
-/** Returns the routers that remember a key.
+/** Returns the ids of the routers that store the record of a key.
  * @param key The idempotency key.
- * @param routerIds The listed routers. */
+ * @param routerIds Ids of all listed routers. */
 export function getWitnesses(
   key: string,
   routerIds: readonly string[],
--- a/tests/witness/key_claim_model_test.ts
+++ b/tests/witness/key_claim_model_test.ts
@@ -1,48 +1,49 @@
 import fc from "fast-check";
 import test from "ava";
 import type { KeyRecord } from "../../src/witness/key_record.ts";
-import { KeyRegister } from "../../src/witness/key_register.ts";
+import { KeyRecordStore } from "../../src/witness/key_record_store.ts";
 import { countVotes } from "../../src/witness/vote_count.ts";
 
 const KEY = "customer/key";
-const WITNESSES = 3;
+const WITNESS_COUNT = 3;
 
-/** One step of two attempts that ask three witnesses: which attempt asks which witness, or a witness that is lost. */
-type Step = { attempt: number; witness: number } | { lost: number };
+/** One step of the model: an attempt requests the vote of a witness, or a witness restarts without its records. */
+type Step = { attempt: number; witness: number } | { restarted: number };
 
-function allOrders(steps: readonly Step[]): Step[][] {
+function getPermutations(steps: readonly Step[]): Step[][] {
   if (steps.length <= 1) return [[...steps]];
   return steps.flatMap((step, index) => {
     const rest = [...steps.slice(0, index), ...steps.slice(index + 1)];
-    return allOrders(rest).map((order) => [step, ...order]);
+    return getPermutations(rest).map((permutation) => [step, ...permutation]);
   });
 }
 
-/** Plays steps and returns the attempts that may run. */
-function play(steps: readonly Step[]): string[] {
-  const registers = Array.from(
-    { length: WITNESSES },
-    () => KeyRegister.create(1_000),
+/** Simulates the steps and returns the attempts that may run. */
+function simulate(steps: readonly Step[]): string[] {
+  const stores = Array.from(
+    { length: WITNESS_COUNT },
+    () => KeyRecordStore.create(1_000),
   );
-  const settled = Array.from({ length: WITNESSES }, () => true);
+  const settled = Array.from({ length: WITNESS_COUNT }, () => true);
   const votes = new Map<string, Map<number, ReturnType<typeof toVote>>>();
   for (const step of steps) {
-    if ("lost" in step) {
-      registers[step.lost] = KeyRegister.create(1_000);
-      settled[step.lost] = false;
+    if ("restarted" in step) {
+      stores[step.restarted] = KeyRecordStore.create(1_000);
+      settled[step.restarted] = false;
       continue;
     }
     const attempt = `attempt-${step.attempt}`;
     const record = { attempt, holder: attempt, fingerprint: "f" };
-    const recorded = registers[step.witness]!.testAndSet(KEY, record, "", 0);
-    const given = votes.get(attempt) ?? new Map();
+    const recorded = stores[step.witness]!.compareAndSet(KEY, record, "", 0);
+    const attemptVotes = votes.get(attempt) ?? new Map();
     votes.set(
       attempt,
-      given.set(step.witness, toVote(recorded, settled[step.witness]!)),
+      attemptVotes.set(step.witness, toVote(recorded, settled[step.witness]!)),
     );
   }
-  return [...votes].filter(([attempt, given]) =>
-    countVotes(attempt, WITNESSES, [...given.values()], false).type ===
+  return [...votes].filter(([attempt, attemptVotes]) =>
+    countVotes(attempt, WITNESS_COUNT, [...attemptVotes.values()], false)
+      .type ===
       "claimed"
   )
     .map(([attempt]) => attempt);
@@ -52,32 +53,32 @@
   return { type: "voted" as const, exchange: 0, settled, ...record };
 }
 
-test("over all orders of two attempts' questions, and any lost witness at any moment, at most one may run", (t) => {
-  const questions: Step[] = [0, 1].flatMap((attempt) =>
+test("at most one of two attempts may run, for every order of vote requests and a restart of any witness", (t) => {
+  const voteRequests: Step[] = [0, 1].flatMap((attempt) =>
     [0, 1, 2].map((witness) => ({ attempt, witness }))
   );
-  let played = 0;
-  for (const order of allOrders(questions)) {
-    t.true(play(order).length <= 1);
-    played += 1;
+  let simulated = 0;
+  for (const order of getPermutations(voteRequests)) {
+    t.true(simulate(order).length <= 1);
+    simulated += 1;
   }
-  for (const lost of [0, 1, 2]) {
-    for (const order of allOrders([...questions, { lost }])) {
-      if (play(order).length > 1) t.fail(JSON.stringify(order));
-      played += 1;
+  for (const restarted of [0, 1, 2]) {
+    for (const order of getPermutations([...voteRequests, { restarted }])) {
+      if (simulate(order).length > 1) t.fail(JSON.stringify(order));
+      simulated += 1;
     }
   }
-  t.is(played, 720 + 3 * 5_040);
+  t.is(simulated, 720 + 3 * 5_040);
 });
 
-test("with any number of attempts, unanswered questions and lost answers, at most one may run", (t) => {
+test("at most one of up to five attempts may run when each requests any votes in any order, also repeatedly", (t) => {
   const step = fc.record({
     attempt: fc.integer({ min: 0, max: 4 }),
     witness: fc.integer({ min: 0, max: 2 }),
   });
-  const isSound = fc.property(
+  const atMostOneMayRun = fc.property(
     fc.array(step, { maxLength: 40 }),
-    (steps) => play(steps).length <= 1,
+    (steps) => simulate(steps).length <= 1,
   );
-  t.notThrows(() => fc.assert(isSound, { seed: 4, numRuns: 2_000 }));
+  t.notThrows(() => fc.assert(atMostOneMayRun, { seed: 4, numRuns: 2_000 }));
 });
