--- a/src/witness/witness_history.ts
+++ b/src/witness/witness_history.ts
@@ -47,7 +47,7 @@
   /** Returns the time since which this router has been a witness of the key, in milliseconds since the epoch; undefined
    * if it is not a witness of it.
    * @param key The idempotency key. */
-  getWitnessSince(key: string): number | undefined {
+  getSince(key: string): number | undefined {
     let since: number | undefined;
     for (const period of [...this.periods].reverse()) {
       if (!getWitnesses(key, period.routerIds).includes(this.ownId)) break;
@@ -69,7 +69,7 @@
     clockSkewMs: number,
     now: number,
   ): boolean {
-    const since = this.getWitnessSince(key);
+    const since = this.getSince(key);
     if (since === undefined) return false;
     const createdAt = readKeyTime(key);
     const wasWitnessBefore = createdAt !== undefined &&
