--- a/src/peer/fleet_secret.ts
+++ b/src/peer/fleet_secret.ts
@@ -1,49 +1,54 @@
 import { createHmac, timingSafeEqual } from "node:crypto";
 
+/** Length to which the HMAC-SHA-256 tags are truncated. */
 const TAG_BYTES = 12;
 
-/** Signs and checks what routers send each other, with a secret that all of them share. */
+/** Authenticates messages and connections between routers by HMAC with a secret that all of them share. */
 export class FleetSecret {
   private constructor(private readonly secret: string) {}
 
-  /** Creates a signer.
+  /** Creates an authenticator.
    * @param secret The shared secret. */
   static create(secret: string): FleetSecret {
     return new FleetSecret(secret);
   }
 
-  /** Puts a tag before some bytes.
-   * @param content The bytes. */
+  /** Returns the content with its authentication tag in front.
+   * @param content The bytes to sign. */
   seal(content: Buffer): Buffer {
-    return Buffer.concat([this.tag(content), content]);
+    return Buffer.concat([this.computeTag(content), content]);
   }
 
-  /** Returns the bytes behind a valid tag, or nothing.
-   * @param sealed A tag and bytes. */
-  open(sealed: Buffer): Buffer | undefined {
-    if (sealed.length <= TAG_BYTES) return undefined;
-    const content = sealed.subarray(TAG_BYTES);
-    return timingSafeEqual(sealed.subarray(0, TAG_BYTES), this.tag(content))
+  /** Returns the content after a valid tag; undefined if the tag is invalid or the content is empty.
+   * @param signed A tag followed by content. */
+  open(signed: Buffer): Buffer | undefined {
+    if (signed.length <= TAG_BYTES) return undefined;
+    const content = signed.subarray(TAG_BYTES);
+    return timingSafeEqual(
+        signed.subarray(0, TAG_BYTES),
+        this.computeTag(content),
+      )
       ? content
       : undefined;
   }
 
-  /** Returns the token a router shows when it connects.
-   * @param routerId The router that connects. */
+  /** Returns the token that a router presents when it connects to a peer.
+   * @param routerId Id of the connecting router. */
   createToken(routerId: string): string {
-    return this.tag(Buffer.from(`peer:${routerId}`)).toString("hex");
+    return this.computeTag(Buffer.from(`peer:${routerId}`)).toString("hex");
   }
 
-  /** Whether a token belongs to a router.
-   * @param routerId The router that claims it.
-   * @param token What it showed. */
-  isToken(routerId: string, token: string): boolean {
+  /** Whether a token is valid for a router.
+   * @param routerId Id that the connecting router claims.
+   * @param token The token that it presented. */
+  verifyToken(routerId: string, token: string): boolean {
     const expected = Buffer.from(this.createToken(routerId));
-    const shown = Buffer.from(token);
-    return expected.length === shown.length && timingSafeEqual(expected, shown);
+    const presented = Buffer.from(token);
+    return expected.length === presented.length &&
+      timingSafeEqual(expected, presented);
   }
 
-  private tag(content: Buffer): Buffer {
+  private computeTag(content: Buffer): Buffer {
     return createHmac("sha256", this.secret).update(content).digest().subarray(
       0,
       TAG_BYTES,
--- a/src/peer/frame_port.ts
+++ b/src/peer/frame_port.ts
@@ -1,17 +1,17 @@
 import type { Frame } from "./frame_schema.ts";
 
-/** One end of an ordered connection that carries frames. */
+/** One end of an ordered connection that transports frames. */
 export interface FramePort {
-  /** Router at the other end. */
+  /** Id of the router at the other end. */
   readonly peerId: string;
-  /** Sends a frame; frames sent after the connection ended are dropped. */
+  /** Sends a frame; frames sent after the connection was closed are dropped. */
   send(frame: Frame): void;
-  /** Bytes accepted for sending that have not left yet. */
+  /** Number of bytes queued for sending. */
   readonly bufferedBytes: number;
-  /** Sets who receives frames. */
+  /** Sets the callback for received frames, replacing an earlier one. */
   onFrame(receive: (frame: Frame) => void): void;
-  /** Sets who is told, once, that the connection ended. */
-  onClose(closed: () => void): void;
-  /** Ends the connection. */
+  /** Sets the callback that is called once when the connection is closed, replacing an earlier one. */
+  onClose(notifyClosed: () => void): void;
+  /** Closes the connection. */
   close(): void;
 }
--- a/src/peer/frame_schema.ts
+++ b/src/peer/frame_schema.ts
@@ -3,12 +3,14 @@
 import { hostListSchema } from "../configuration_service/host_schema.ts";
 import { publishedValueSchema } from "../configuration/document_schema.ts";
 
-/** Number of the exchange a frame belongs to; unique per connection, chosen by the side that opened it. */
+/** Number of the exchange that a frame belongs to, which is a request and its answers. Exchanges are multiplexed over a
+ * connection. The number is unique per connection and chosen by the side that opened the exchange; frames that belong
+ * to no exchange carry 0. */
 const exchange = z.number().int().nonnegative();
 const bytes = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
 const headers = z.record(z.string(), z.string());
 
-/** Offers a request to the owner of an upstream. */
+/** Offers a request to the owner of an upstream. The sender is the entry: the router that the caller connected to. */
 export const offerSchema = z.object({
   type: z.literal("offer"),
   exchange,
@@ -24,53 +26,53 @@
   priority: z.number(),
   capacityShare: z.number(),
   repeatable: z.boolean(),
-  /** Whether the request may wait where the upstream is full. */
+  /** Whether the request may be queued if the upstream is full. */
   mayQueue: z.boolean(),
-  /** Routers that did not answer the entry; where the owner is one of them, the next in order may take the offer. */
+  /** Ids of routers that did not answer the entry; if the owner is one of them, the next router in rank may accept. */
   avoids: z.array(z.string()).max(16),
-  /** Whether the upstream may be at work on it already, for another owner that was lost. */
+  /** Whether the upstream may already be running the request for an owner that was lost. */
   resumes: z.boolean(),
-  /** Events of the answer that the caller already has. */
+  /** Number of events of the answer that the caller already has. */
   resumeFrom: z.number().int().nonnegative(),
   remainingMs: z.number(),
 });
 
 const frames = [
   offerSchema,
-  /** The entry lets the owner send; given at most once for a request. */
+  /** The entry permits the owner to send the request to the upstream; granted at most once per request. */
   z.object({ type: z.literal("grant"), exchange }),
-  /** The entry does not let the owner send. */
+  /** The entry refuses the owner permission to send the request to the upstream. */
   z.object({ type: z.literal("withhold"), exchange }),
-  /** The entry wants no more of the exchange. */
+  /** The entry cancels the exchange. */
   z.object({ type: z.literal("cancel"), exchange }),
-  /** The caller has taken some bytes. */
+  /** Flow control: the caller has consumed this many bytes of the answer. */
   z.object({
     type: z.literal("credit"),
     exchange,
     bytes: z.number().int().nonnegative(),
   }),
-  /** The owner took the offer. */
+  /** The owner accepted the offer. */
   z.object({ type: z.literal("accepted"), exchange, queued: z.boolean() }),
-  /** The owner did not take the offer; nothing was sent to the upstream. */
+  /** The owner declined the offer; nothing was sent to the upstream. */
   z.object({
     type: z.literal("declined"),
     exchange,
     reason: z.enum(["full", "share", "gone", "stale", "deadline", "moved"]),
-    /** Where the reason is `moved`: the router that owns the upstream. */
+    /** Id of the router that owns the upstream; empty if the reason is not `moved`. */
     owner: z.string(),
-    /** Where the reason is `full`: time for which the upstream asked for no requests, in milliseconds. */
+    /** Time for which the upstream asked for no requests, in milliseconds; only if the reason is `full`. */
     backoffMs: z.number().optional(),
   }),
-  /** The owner is about to send and asks for the grant. */
+  /** The owner is about to send the request to the upstream and asks the entry for a `grant`. */
   z.object({ type: z.literal("claim"), exchange }),
-  /** Head of an answer; what `chunk` frames carry follows. */
+  /** Status and headers of an answer; its body follows in `chunk` frames. */
   z.object({
     type: z.literal("head"),
     exchange,
     status: z.number().int(),
     headers,
   }),
-  /** Part of an answer, numbered from 0. */
+  /** Part of the body of an answer, numbered from 0. */
   z.object({
     type: z.literal("chunk"),
     exchange,
@@ -78,21 +80,21 @@
     events: z.number().int(),
     bytes,
   }),
-  /** End of a whole answer, with what was sent, for the receiver to compare. */
+  /** End of a complete answer, with the number of chunks and bytes sent, so that the receiver can detect a loss. */
   z.object({
     type: z.literal("end"),
     exchange,
     chunks: z.number().int(),
     bytes: z.number().int(),
   }),
-  /** The upstream failed; `ran` is "no" where not a byte was sent. */
+  /** The request failed at the upstream; `ran` is "no" if not a byte was sent to it. */
   z.object({
     type: z.literal("failed"),
     exchange,
     ran: z.enum(["no", "unknown"]),
     detail: z.string(),
   }),
-  /** Asks a witness to record a key for an attempt. */
+  /** Asks a witness to record an attempt for an idempotency key. */
   z.object({
     type: z.literal("vote"),
     exchange,
@@ -100,26 +102,27 @@
     fingerprint: z.string(),
     attempt: z.string(),
     holder: z.string(),
-    /** Attempt that its holder has given up and that this one replaces. */
+    /** Id of an attempt that its holder gave up and this one replaces, or an empty string. */
     replaces: z.string(),
   }),
-  /** A witness's answer: what it has recorded for the key. */
+  /** Answer of a witness to `vote`: the attempt that it has recorded for the key. */
   z.object({
     type: z.literal("voted"),
     exchange,
+    /** Whether the witness would know of any earlier attempt with the key. */
     settled: z.boolean(),
     fingerprint: z.string(),
     attempt: z.string(),
     holder: z.string(),
   }),
-  /** Tells a witness that an attempt was certainly not run. */
+  /** Tells a witness that an attempt was certainly not run, so that it drops the record. */
   z.object({
     type: z.literal("release"),
     exchange,
     key: z.string(),
     attempt: z.string(),
   }),
-  /** Hands a record over to a new witness of a key. */
+  /** Transfers a key record to a router that is or becomes a witness of the key. */
   z.object({
     type: z.literal("record"),
     exchange,
@@ -128,18 +131,18 @@
     attempt: z.string(),
     holder: z.string(),
   }),
-  /** Asks a router for the records of keys that the asking router is a witness of. */
+  /** Requests the records of the keys that the sender is a witness of. */
   z.object({ type: z.literal("pull_records"), exchange, witness: z.string() }),
-  /** Follows the records that were asked for. */
+  /** End of the records requested by `pull_records`. */
   z.object({ type: z.literal("records_sent"), exchange }),
-  /** Asks the holder of an attempt for its outcome. */
+  /** Asks the holder of an attempt for its outcome, waiting up to `waitMs` for it. */
   z.object({
     type: z.literal("outcome"),
     exchange,
     attempt: z.string(),
     waitMs: z.number(),
   }),
-  /** The outcome of an attempt; `released` means that it was not run and never will be. */
+  /** Answer to `outcome`; `released` means that the attempt was not run and never will be. */
   z.object({
     type: z.literal("outcome_is"),
     exchange,
@@ -148,20 +151,20 @@
     headers,
     body: bytes,
   }),
-  /** Asks for the configuration values above a revision. */
+  /** Requests the configuration values with a revision above `after`. */
   z.object({ type: z.literal("pull"), exchange, after: z.number().int() }),
-  /** Some configuration values; `last` ends the answer. */
+  /** Part of the answer to `pull`; `last` marks its end. */
   z.object({
     type: z.literal("values"),
     exchange,
     values: z.array(publishedValueSchema),
     last: z.boolean(),
   }),
-  /** Asks for the peer's list of hosts. */
+  /** Requests the peer's host list. */
   z.object({ type: z.literal("pull_hosts"), exchange }),
-  /** The list of hosts, as the peer last read it. */
+  /** Answer to `pull_hosts`: the host list that the peer uses. */
   z.object({ type: z.literal("hosts"), exchange, list: hostListSchema }),
-  /** Tells which requests were under way on upstreams that crashed; belongs to no exchange. */
+  /** Gossips which requests were in flight on upstreams that crashed; belongs to no exchange. */
   z.object({
     type: z.literal("crash_words"),
     exchange,
@@ -169,11 +172,11 @@
   }),
 ] as const;
 
-/** A frame between two routers. */
+/** Schema of the frames that routers exchange. */
 export const frameSchema = z.discriminatedUnion("type", frames);
 
 /** A frame between two routers. */
 export type Frame = z.infer<typeof frameSchema>;
 
-/** The frame of one type. */
+/** The frame of a given type. */
 export type FrameOf<T extends Frame["type"]> = Extract<Frame, { type: T }>;
--- a/src/peer/peer_client.ts
+++ b/src/peer/peer_client.ts
@@ -2,14 +2,14 @@
 import type { FleetSecret } from "./fleet_secret.ts";
 import type { FramePort } from "./frame_port.ts";
 import type { Frame } from "./frame_schema.ts";
-import { SocketPort } from "./socket_port.ts";
+import { WebSocketFramePort } from "./web_socket_frame_port.ts";
 
-/** Receives the frames of one exchange; `undefined` says that the connection ended. */
-export type ExchangeReceiver = (frame: Frame | undefined) => void;
+/** Listener for the frames of one exchange; called with `undefined` when the connection is closed. */
+export type ExchangeListener = (frame: Frame | undefined) => void;
 
-/** A connection to one router, over which this router opens exchanges. */
+/** Client side of a connection to one router, over which this router opens multiplexed exchanges. */
 export class PeerClient {
-  private readonly receivers = new Map<number, ExchangeReceiver>();
+  private readonly listeners = new Map<number, ExchangeListener>();
   private nextExchange = 1;
   private isClosed = false;
 
@@ -17,77 +17,78 @@
     private readonly port: FramePort,
     private readonly onClosed: () => void,
   ) {
-    port.onFrame((frame) => this.receivers.get(frame.exchange)?.(frame));
-    port.onClose(() => this.endAll());
+    port.onFrame((frame) => this.listeners.get(frame.exchange)?.(frame));
+    port.onClose(() => this.handleClose());
   }
 
-  /** Wraps a port.
+  /** Creates a client on an open connection.
    * @param port The connection.
-   * @param onClosed Told once that it ended. */
+   * @param onClosed Called once when the connection is closed. */
   static create(port: FramePort, onClosed: () => void): PeerClient {
     return new PeerClient(port, onClosed);
   }
 
   /** Connects to a router.
-   * @param ownId This router.
-   * @param peerId The router to connect to.
-   * @param address Its IP number and peer port.
-   * @param secret Proves who connects.
-   * @param timeoutMs Time for the connection to be made.
-   * @param onClosed Told once that it ended. */
+   * @param ownId Id of this router.
+   * @param peerId Id of the router to connect to.
+   * @param address IP address and peer port of that router.
+   * @param authenticator Creates the token that this router presents.
+   * @param timeoutMs Time limit of the WebSocket handshake.
+   * @param onClosed Called once when the connection is closed. */
   static async connect(
     ownId: string,
     peerId: string,
     address: { address: string; port: number },
-    secret: FleetSecret,
+    authenticator: FleetSecret,
     timeoutMs: number,
     onClosed: () => void,
   ): Promise<PeerClient> {
     const socket = new WebSocket(`ws://${address.address}:${address.port}/`, {
       handshakeTimeout: timeoutMs,
       perMessageDeflate: false,
-      headers: { "x-router": ownId, "x-token": secret.createToken(ownId) },
+      headers: {
+        "x-router": ownId,
+        "x-token": authenticator.createToken(ownId),
+      },
     });
     await new Promise<void>((resolve, reject) => {
       socket.once("open", resolve);
       socket.once("error", reject);
     });
-    return new PeerClient(SocketPort.create(peerId, socket), onClosed);
+    return new PeerClient(WebSocketFramePort.create(peerId, socket), onClosed);
   }
 
-  /** Opens an exchange.
-   * @param receiver Receives its frames.
-   * @returns Its number, to put on each frame. */
-  openExchange(receiver: ExchangeReceiver): number {
+  /** Opens an exchange; on a closed connection, the listener is called asynchronously with `undefined`.
+   * @param listener Called for each frame of the exchange.
+   * @returns Number of the exchange, which each of its frames carries. */
+  openExchange(listener: ExchangeListener): number {
     const exchange = this.nextExchange++;
-    this.receivers.set(exchange, receiver);
-    if (this.isClosed) setImmediate(() => receiver(undefined));
+    this.listeners.set(exchange, listener);
+    if (this.isClosed) setImmediate(() => listener(undefined));
     return exchange;
   }
 
-  /** Ends an exchange; later frames of it are dropped.
-   * @param exchange Its number. */
+  /** Closes an exchange; frames of it that arrive later are dropped.
+   * @param exchange Number of the exchange. */
   closeExchange(exchange: number): void {
-    this.receivers.delete(exchange);
+    this.listeners.delete(exchange);
   }
 
-  /** Sends a frame.
-   * @param frame The frame. */
   send(frame: Frame): void {
     this.port.send(frame);
   }
 
-  /** Ends the connection and all exchanges. */
+  /** Closes the connection and with it all exchanges. */
   close(): void {
     this.port.close();
   }
 
-  private endAll(): void {
+  private handleClose(): void {
     if (this.isClosed) return;
     this.isClosed = true;
     this.onClosed();
-    const receivers = [...this.receivers.values()];
-    this.receivers.clear();
-    for (const receiver of receivers) receiver(undefined);
+    const listeners = [...this.listeners.values()];
+    this.listeners.clear();
+    for (const listener of listeners) listener(undefined);
   }
 }
--- a/src/peer/peer_directory.ts
+++ b/src/peer/peer_directory.ts
@@ -2,58 +2,57 @@
 import type { FleetSecret } from "./fleet_secret.ts";
 import type { FramePort } from "./frame_port.ts";
 import type { Frame, FrameOf } from "./frame_schema.ts";
-import { LocalPort } from "./local_port.ts";
+import { LoopbackFramePort } from "./loopback_frame_port.ts";
 import { PeerClient } from "./peer_client.ts";
 
-/** What the directory needs of the rest of the router. */
+/** Dependencies of a `PeerDirectory`. */
 export interface PeerDirectoryOptions {
   ownId: string;
-  secret: FleetSecret;
+  authenticator: FleetSecret;
   connectTimeoutMs: number;
   getView: () => FleetView;
-  /** Takes the other end of the connection to this router itself. */
-  acceptLocal: (port: FramePort) => void;
-  /** Told of each router that could not be reached or whose connection ended. */
+  /** Accepts the server end of the loopback connection. */
+  acceptLoopback: (port: FramePort) => void;
+  /** Called for each router that could not be reached or whose connection was closed. */
   onUnreachable: (routerId: string) => void;
 }
 
-/** What follows from a frame of an answer made of many. */
-export type GatherStep = "more" | "all" | "wrong";
+/** State of a streamed answer after a frame of it: more frames follow, it is complete, or the frame is unexpected. */
+export type StreamStep = "more" | "all" | "wrong";
 
-/** The connections to other routers, made when first needed and kept. */
+/** Pool of one connection per router, each opened on first use and kept until it is closed. */
 export class PeerDirectory {
   private readonly clients = new Map<string, Promise<PeerClient>>();
   private isClosed = false;
 
   private constructor(private readonly options: PeerDirectoryOptions) {}
 
-  /** Creates a directory without connections.
-   * @param options What it needs. */
+  /** Creates a pool without connections. */
   static create(options: PeerDirectoryOptions): PeerDirectory {
     return new PeerDirectory(options);
   }
 
-  /** Returns the connection to a router, or nothing where it cannot be reached.
-   * @param routerId The router; this one itself included. */
+  /** Returns the connection to a router; undefined if the router cannot be reached.
+   * @param routerId Id of the router, which may be this router itself. */
   async getClient(routerId: string): Promise<PeerClient | undefined> {
-    const known = this.clients.get(routerId) ?? this.open(routerId);
+    const client = this.clients.get(routerId) ?? this.openConnection(routerId);
     try {
-      return await known;
+      return await client;
     } catch {
       return undefined;
     }
   }
 
-  /** Sends one frame and waits for one in return.
-   * @param routerId The router to ask.
-   * @param build Builds the frame for an exchange.
-   * @param expected Type of the frame expected in return.
-   * @param timeoutMs Time to wait.
-   * @returns The answer, or nothing where none came. */
+  /** Sends a frame and waits for one answer frame.
+   * @param routerId Id of the router to ask.
+   * @param buildFrame Builds the frame for an exchange number.
+   * @param answerType Expected type of the answer frame.
+   * @param timeoutMs Time limit for the answer.
+   * @returns The answer; undefined if there was none in time or it has another type. */
   async ask<T extends Frame["type"]>(
     routerId: string,
-    build: (exchange: number) => Frame,
-    expected: T,
+    buildFrame: (exchange: number) => Frame,
+    answerType: T,
     timeoutMs: number,
   ): Promise<FrameOf<T> | undefined> {
     const client = await this.getClient(routerId);
@@ -62,46 +61,46 @@
       const finish = (frame: Frame | undefined) => {
         clearTimeout(timer);
         client.closeExchange(exchange);
-        resolve(frame?.type === expected ? frame as FrameOf<T> : undefined);
+        resolve(frame?.type === answerType ? frame as FrameOf<T> : undefined);
       };
       const exchange = client.openExchange(finish);
       const timer = setTimeout(() => finish(undefined), timeoutMs);
-      client.send(build(exchange));
+      client.send(buildFrame(exchange));
     });
   }
 
-  /** Sends one frame and takes frames in return until they end.
-   * @param routerId The router to ask.
-   * @param build Builds the frame for an exchange.
-   * @param take Takes each frame and says whether more follow, all came, or something was wrong.
-   * @param timeoutMs Time for all of it.
-   * @returns Whether all came. */
+  /** Sends a frame and receives answer frames until the answer is complete.
+   * @param routerId Id of the router to ask.
+   * @param buildFrame Builds the frame for an exchange number.
+   * @param onFrame Handles each answer frame and returns the state of the answer after it.
+   * @param timeoutMs Time limit for the whole answer.
+   * @returns Whether the answer was complete in time. */
   async gather(
     routerId: string,
-    build: (exchange: number) => Frame,
-    take: (frame: Frame) => GatherStep,
+    buildFrame: (exchange: number) => Frame,
+    onFrame: (frame: Frame) => StreamStep,
     timeoutMs: number,
   ): Promise<boolean> {
     const client = await this.getClient(routerId);
     if (!client) return false;
     return await new Promise((resolve) => {
-      const finish = (hasAll: boolean) => {
+      const finish = (isComplete: boolean) => {
         clearTimeout(timer);
         client.closeExchange(exchange);
-        resolve(hasAll);
+        resolve(isComplete);
       };
       const exchange = client.openExchange((frame) => {
-        const step = frame ? take(frame) : "wrong";
-        if (step !== "more") finish(step === "all");
+        const state = frame ? onFrame(frame) : "wrong";
+        if (state !== "more") finish(state === "all");
       });
       const timer = setTimeout(() => finish(false), timeoutMs);
-      client.send(build(exchange));
+      client.send(buildFrame(exchange));
     });
   }
 
-  /** Ends the connections to routers that count as lost.
-   * @param view The present view of the fleet. */
-  dropLost(view: FleetView): void {
+  /** Closes the connections to routers that the view marks as lost.
+   * @param view The current view of the fleet. */
+  closeLostConnections(view: FleetView): void {
     for (const router of view.routers) {
       if (router.lost) {
         this.clients.get(router.host.id)?.then(
@@ -112,7 +111,7 @@
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and opens no new ones. */
   async close(): Promise<void> {
     this.isClosed = true;
     const clients = await Promise.allSettled(this.clients.values());
@@ -121,45 +120,48 @@
     }
   }
 
-  private open(routerId: string): Promise<PeerClient> {
-    const opening = this.connect(routerId);
-    this.clients.set(routerId, opening);
-    opening.catch(() => this.forget(routerId, opening));
-    return opening;
+  private openConnection(routerId: string): Promise<PeerClient> {
+    const client = this.connect(routerId);
+    this.clients.set(routerId, client);
+    client.catch(() => this.handleDisconnect(routerId, client));
+    return client;
   }
 
   private async connect(routerId: string): Promise<PeerClient> {
-    if (this.isClosed) throw new Error("the directory is closed");
-    if (routerId === this.options.ownId) return this.connectLocally();
+    if (this.isClosed) throw new Error("peer connection pool is closed");
+    if (routerId === this.options.ownId) return this.connectLoopback();
     const router = this.options.getView().getRouter(routerId);
-    if (!router?.host.peerPort) throw new Error(`${routerId} is not listed`);
+    if (!router?.host.peerPort) throw new Error(`${routerId}: no peer port`);
     const address = {
       address: router.host.address,
       port: router.host.peerPort,
     };
-    const { ownId, secret, connectTimeoutMs } = this.options;
-    const onClosed = () => this.forget(routerId, this.clients.get(routerId));
+    const { ownId, authenticator, connectTimeoutMs } = this.options;
+    const onClosed = () =>
+      this.handleDisconnect(routerId, this.clients.get(routerId));
     return await PeerClient.connect(
       ownId,
       routerId,
       address,
-      secret,
+      authenticator,
       connectTimeoutMs,
       onClosed,
     );
   }
 
-  private connectLocally(): PeerClient {
-    const [near, far] = LocalPort.createPair(this.options.ownId);
-    this.options.acceptLocal(far);
-    return PeerClient.create(near, () => undefined);
+  private connectLoopback(): PeerClient {
+    const [clientEnd, serverEnd] = LoopbackFramePort.createPair(
+      this.options.ownId,
+    );
+    this.options.acceptLoopback(serverEnd);
+    return PeerClient.create(clientEnd, () => undefined);
   }
 
-  private forget(
+  private handleDisconnect(
     routerId: string,
-    opening: Promise<PeerClient> | undefined,
+    client: Promise<PeerClient> | undefined,
   ): void {
-    if (this.clients.get(routerId) === opening) this.clients.delete(routerId);
+    if (this.clients.get(routerId) === client) this.clients.delete(routerId);
     if (!this.isClosed) this.options.onUnreachable(routerId);
   }
 }
--- a/src/peer/peer_server.ts
+++ b/src/peer/peer_server.ts
@@ -3,33 +3,34 @@
 import { WebSocketServer } from "ws";
 import type { FleetSecret } from "./fleet_secret.ts";
 import type { FramePort } from "./frame_port.ts";
-import { SocketPort } from "./socket_port.ts";
+import { WebSocketFramePort } from "./web_socket_frame_port.ts";
 
-/** Head line of the answer to a peer that may not speak. */
-const REFUSAL = "HTTP/1.1 403 Forbidden\r\nconnection: close\r\n\r\n";
+/** Response to a WebSocket upgrade request without a valid token. */
+const FORBIDDEN_RESPONSE =
+  "HTTP/1.1 403 Forbidden\r\nconnection: close\r\n\r\n";
 
-/** Listens for other routers; who does not show a valid token is refused. */
+/** Accepts connections of other routers; a router that does not present a valid token is refused. */
 export class PeerServer {
   private constructor(
     private readonly server: Server,
-    private readonly sockets: WebSocketServer,
+    private readonly webSocketServer: WebSocketServer,
   ) {}
 
   /** Starts listening.
-   * @param at Where to listen.
-   * @param secret Checks who connects.
-   * @param maxFrameBytes Largest frame taken.
-   * @param onPort Told of each connection. */
+   * @param listenAddress Address and port to listen on.
+   * @param authenticator Verifies the tokens of connecting routers.
+   * @param maxFrameBytes Size limit of a received frame.
+   * @param onConnection Called for each accepted connection. */
   static async create(
-    at: { host: string; port: number },
-    secret: FleetSecret,
+    listenAddress: { host: string; port: number },
+    authenticator: FleetSecret,
     maxFrameBytes: number,
-    onPort: (port: FramePort) => void,
+    onConnection: (port: FramePort) => void,
   ): Promise<PeerServer> {
     const server = createServer((_request, response) =>
       response.writeHead(404).end()
     );
-    const sockets = new WebSocketServer({
+    const webSocketServer = new WebSocketServer({
       noServer: true,
       maxPayload: maxFrameBytes,
       perMessageDeflate: false,
@@ -38,25 +39,28 @@
       socket.on("error", () => socket.destroy());
       const routerId = String(request.headers["x-router"] ?? "");
       const token = String(request.headers["x-token"] ?? "");
-      if (!secret.isToken(routerId, token)) return socket.end(REFUSAL);
-      sockets.handleUpgrade(
+      if (!authenticator.verifyToken(routerId, token)) {
+        return socket.end(FORBIDDEN_RESPONSE);
+      }
+      webSocketServer.handleUpgrade(
         request,
         socket,
         head,
-        (webSocket) => onPort(SocketPort.create(routerId, webSocket)),
+        (webSocket) =>
+          onConnection(WebSocketFramePort.create(routerId, webSocket)),
       );
     };
     server.on("upgrade", accept);
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
-      server.listen(at.port, at.host, resolve);
+      server.listen(listenAddress.port, listenAddress.host, resolve);
     });
-    return new PeerServer(server, sockets);
+    return new PeerServer(server, webSocketServer);
   }
 
-  /** Ends all connections and stops listening. */
+  /** Terminates all connections and stops listening. */
   async close(): Promise<void> {
-    for (const client of this.sockets.clients) client.terminate();
+    for (const client of this.webSocketServer.clients) client.terminate();
     await new Promise<void>((resolve) => this.server.close(() => resolve()));
   }
 }
--- a/src/peer/socket_port.ts
+++ b/src/peer/web_socket_frame_port.ts
@@ -5,10 +5,10 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Bytes waiting to leave above which a connection counts as broken. */
+/** Number of bytes queued for sending above which a connection counts as broken and is terminated. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-/** Counts what was sent over all connections of this process, apart from requests and answers. */
+/** Control traffic sent over all peer connections of this process: all frames but those of requests and answers. */
 export const controlTraffic = { bytes: 0, frames: 0 };
 
 const DATA_FRAMES: ReadonlySet<Frame["type"]> = new Set([
@@ -17,25 +17,25 @@
   "head",
 ]);
 
-/** An end of a WebSocket that carries msgpack frames; a frame that is not well formed ends the connection. */
-export class SocketPort implements FramePort {
+/** One end of a WebSocket that transports frames as msgpack; a malformed frame terminates the connection. */
+export class WebSocketFramePort implements FramePort {
   private receive: (frame: Frame) => void = () => undefined;
-  private closed: () => void = () => undefined;
+  private notifyClosed: () => void = () => undefined;
 
   private constructor(
     readonly peerId: string,
     private readonly socket: WebSocket,
   ) {
     socket.on("message", (data) => this.decode(data as Buffer));
-    socket.on("close", () => this.closed());
+    socket.on("close", () => this.notifyClosed());
     socket.on("error", () => socket.terminate());
   }
 
   /** Wraps an open WebSocket.
-   * @param peerId Router at the other end.
+   * @param peerId Id of the router at the other end.
    * @param socket The WebSocket. */
-  static create(peerId: string, socket: WebSocket): SocketPort {
-    return new SocketPort(peerId, socket);
+  static create(peerId: string, socket: WebSocket): WebSocketFramePort {
+    return new WebSocketFramePort(peerId, socket);
   }
 
   get bufferedBytes(): number {
@@ -57,8 +57,8 @@
     this.receive = receive;
   }
 
-  onClose(closed: () => void): void {
-    this.closed = closed;
+  onClose(notifyClosed: () => void): void {
+    this.notifyClosed = notifyClosed;
   }
 
   close(): void {
@@ -78,14 +78,15 @@
   }
 }
 
-/** Whether a value is a well-formed chunk; checked by hand, for chunks are nearly all frames there are. */
+/** Whether a value is a well-formed chunk frame. Validated without the schema, because nearly all frames are chunks. */
 function isChunk(value: unknown): value is FrameOf<"chunk"> {
   const chunk = value as Partial<FrameOf<"chunk">> | null;
-  return chunk?.type === "chunk" && isCount(chunk.exchange) &&
-    isCount(chunk.sequence) && isCount(chunk.events) &&
+  return chunk?.type === "chunk" && isNonNegativeInteger(chunk.exchange) &&
+    isNonNegativeInteger(chunk.sequence) &&
+    isNonNegativeInteger(chunk.events) &&
     chunk.bytes instanceof Uint8Array;
 }
 
-function isCount(value: unknown): boolean {
+function isNonNegativeInteger(value: unknown): boolean {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
--- a/src/router/describe_router.ts
+++ b/src/router/describe_router.ts
@@ -1,5 +1,5 @@
 import type { FleetView } from "../membership/fleet_view.ts";
-import { controlTraffic } from "../peer/socket_port.ts";
+import { controlTraffic } from "../peer/web_socket_frame_port.ts";
 import { readProcess } from "./read_process.ts";
 import type { RouterStatus } from "./router_status.ts";
 import { VERSION } from "./version.ts";
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -89,9 +89,9 @@
     this.directory = PeerDirectory.create({
       ...shared,
       ownId: settings.id,
-      secret: this.secret,
+      authenticator: this.secret,
       connectTimeoutMs: settings.routing.acceptTimeoutMs,
-      acceptLocal: (port) => attachPort(this, port),
+      acceptLoopback: (port) => attachPort(this, port),
     });
     this.configuration = ConfigurationKeeper.create({
       ...shared,
@@ -287,7 +287,7 @@
     this.crashes.takeView(this.view, view);
     this.view = view;
     this.placement = PlacementTable.create(view, this.settings.region);
-    this.directory.dropLost(view);
+    this.directory.closeLostConnections(view);
     this.witness.handleViewChange(view);
   }
 
