--- a/src/peer/peer_server.ts
+++ b/src/peer/peer_server.ts
@@ -6,8 +6,7 @@
 import { WebSocketFramePort } from "./web_socket_frame_port.ts";
 
 /** Response to a WebSocket upgrade request without a valid token. */
-const FORBIDDEN_RESPONSE =
-  "HTTP/1.1 403 Forbidden\r\nconnection: close\r\n\r\n";
+const REFUSAL = "HTTP/1.1 403 Forbidden\r\nconnection: close\r\n\r\n";
 
 /** Accepts connections of other routers; a router that does not present a valid token is refused. */
 export class PeerServer {
@@ -37,17 +36,15 @@
     });
     const accept = (request: IncomingMessage, socket: Duplex, head: Buffer) => {
       socket.on("error", () => socket.destroy());
-      const routerId = String(request.headers["x-router"] ?? "");
+      const peerId = String(request.headers["x-router"] ?? "");
       const token = String(request.headers["x-token"] ?? "");
-      if (!authenticator.verifyToken(routerId, token)) {
-        return socket.end(FORBIDDEN_RESPONSE);
-      }
+      if (!authenticator.verifyToken(peerId, token)) return socket.end(REFUSAL);
       webSocketServer.handleUpgrade(
         request,
         socket,
         head,
         (webSocket) =>
-          onConnection(WebSocketFramePort.create(routerId, webSocket)),
+          onConnection(WebSocketFramePort.create(peerId, webSocket)),
       );
     };
     server.on("upgrade", accept);
