--- a/src/router/describe_router.ts
+++ b/src/router/build_router_status.ts
@@ -1,11 +1,11 @@
 import type { FleetView } from "../membership/fleet_view.ts";
 import { controlTraffic } from "../peer/web_socket_frame_port.ts";
-import { readProcess } from "./read_process.ts";
+import { readProcessUsage } from "./read_process_usage.ts";
 import type { RouterStatus } from "./router_status.ts";
 import { VERSION } from "./version.ts";
 
-/** What a router's status is made of beside what the process itself knows. */
-export interface RouterParts extends
+/** Inputs of a router's status, apart from what is read from the process. */
+export interface RouterStatusInputs extends
   Pick<
     RouterStatus,
     | "id"
@@ -16,14 +16,13 @@
     | "witness"
   > {
   view: FleetView;
-  /** Probes sent since the start. */
+  /** Probe traffic sent since the start. */
   probes: { bytes: number; messages: number };
 }
 
-/** Describes a router for operators.
- * @param parts What it is made of. */
-export function describeRouter(parts: RouterParts): RouterStatus {
-  const { view, probes, ...rest } = parts;
+/** Builds the status answer of a router. */
+export function buildRouterStatus(inputs: RouterStatusInputs): RouterStatus {
+  const { view, probes, ...rest } = inputs;
   return {
     ...rest,
     version: VERSION,
@@ -38,6 +37,6 @@
       probeMessages: probes.messages,
       ...controlTraffic,
     },
-    process: readProcess(),
+    process: readProcessUsage(),
   };
 }
--- a/src/router/frame_handlers.ts
+++ b/src/router/frame_handlers.ts
@@ -4,28 +4,27 @@
 import type { FramePort } from "../peer/frame_port.ts";
 import type { Frame, FrameOf } from "../peer/frame_schema.ts";
 import type { HostList } from "../configuration_service/host_schema.ts";
-import type { RouterCrashes } from "./router_crashes.ts";
+import type { RouterCrashTracker } from "./router_crash_tracker.ts";
 import type { Witness } from "../witness/witness.ts";
 
-/** The parts of a router that answer other routers. */
-export interface FrameReceivers {
+/** The components of a router that handle frames of other routers. */
+export interface RouterComponents {
   owner: Owner;
   witness: Witness;
   configuration: ConfigurationKeeper;
   outcomes: OutcomeStore;
-  crashes: RouterCrashes;
-  /** The list of hosts in use. */
-  getHosts: () => HostList;
+  crashes: RouterCrashTracker;
+  /** Returns the host list in use. */
+  getHostList: () => HostList;
 }
 
 type FrameHandlers = {
   [T in Frame["type"]]?: (port: FramePort, frame: FrameOf<T>) => void;
 };
 
-/** Builds the table from type of frame to what is done with it.
- * @param receivers The parts that answer. */
-function createFrameHandlers(receivers: FrameReceivers): FrameHandlers {
-  const { owner, witness, configuration, outcomes, crashes } = receivers;
+/** Creates the handler table by frame type. */
+function createFrameHandlers(components: RouterComponents): FrameHandlers {
+  const { owner, witness, configuration, outcomes, crashes } = components;
   return {
     offer: (port, frame) => owner.offer(port, frame),
     grant: (port, frame) => owner.reply(port, frame),
@@ -36,33 +35,36 @@
     release: (_port, frame) => witness.handleRelease(frame),
     record: (_port, frame) => witness.handleRecord(frame),
     pull_records: (port, frame) => witness.handleRecordPull(port, frame),
-    crash_words: (_port, frame) => crashes.learn(frame.words),
-    outcome: (port, frame) => void answerOutcome(outcomes, port, frame),
+    crash_words: (_port, frame) => crashes.mergeReports(frame.words),
+    outcome: (port, frame) => void sendOutcome(outcomes, port, frame),
     pull_hosts: (port, frame) =>
       port.send({
         type: "hosts",
         exchange: frame.exchange,
-        list: receivers.getHosts(),
+        list: components.getHostList(),
       }),
     pull: (port, frame) => configuration.answerPull(port, frame),
   };
 }
 
-/** Lets the parts of a router answer a connection that another router opened; a frame without a handler ends it.
- * @param receivers The parts that answer.
+/** Handles the frames of a connection that a router opened; a frame type without a handler closes the connection.
+ * @param components The components that handle the frames.
  * @param port The connection. */
-export function attachPort(receivers: FrameReceivers, port: FramePort): void {
-  const handlers = createFrameHandlers(receivers);
+export function attachFrameHandlers(
+  components: RouterComponents,
+  port: FramePort,
+): void {
+  const handlers = createFrameHandlers(components);
   port.onFrame((frame) => {
     const handler = handlers[frame.type];
     if (handler) {
       (handler as (port: FramePort, frame: Frame) => void)(port, frame);
     } else port.close();
   });
-  port.onClose(() => receivers.owner.portClosed(port));
+  port.onClose(() => components.owner.portClosed(port));
 }
 
-async function answerOutcome(
+async function sendOutcome(
   outcomes: OutcomeStore,
   port: FramePort,
   frame: FrameOf<"outcome">,
--- a/src/router/platform_watch.ts
+++ b/src/router/platform_watcher.ts
@@ -6,59 +6,59 @@
 import { PollLoop, type PollTurn } from "../polling/poll_loop.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 
-/** Time after which other routers of a hall watch. */
-const WATCH_WINDOW_MS = 60_000;
+/** Interval at which the set of routers of a hall that watch the platform changes. */
+const ROTATION_INTERVAL_MS = 60_000;
 
-/** What the watch needs of the rest of the router. */
-export interface PlatformWatchOptions {
+/** Dependencies of a `PlatformWatcher`. */
+export interface PlatformWatcherOptions {
   settings: Settings;
   logger: Logger;
   membership: Membership;
   configuration: ConfigurationKeeper;
 }
 
-/** Watches the platform's documents and host list, while it is this router's turn. */
-export class PlatformWatch {
+/** Long-polls the platform for configuration documents and the host list. In each hall only some routers do so at a
+ * time; the others receive the changes from their peers. */
+export class PlatformWatcher {
   private readonly client: PlatformClient;
   private readonly loops: PollLoop[];
   private revision = 0;
   private version = 0;
-  private hasRead = false;
-  private readonly failing = new Set<string>();
+  private hasReadDocuments = false;
+  private readonly unreachableSources = new Set<string>();
 
-  private constructor(private readonly options: PlatformWatchOptions) {
+  private constructor(private readonly options: PlatformWatcherOptions) {
     const { url, watchMs, retryMs } = options.settings.platform;
     this.client = PlatformClient.create(url);
-    const shared = {
+    const commonOptions = {
       isActive: () => this.isWatcher(),
       getPauseMs: () => retryMs,
     };
     this.loops = [
       PollLoop.create({
-        ...shared,
-        step: () => this.readDocuments(this.hasRead ? watchMs : 0),
-        onTurn: (turn) => this.logTurn("documents", turn),
+        ...commonOptions,
+        step: () => this.readDocuments(this.hasReadDocuments ? watchMs : 0),
+        onTurn: (turn) => this.logReachability("documents", turn),
       }),
       PollLoop.create({
-        ...shared,
+        ...commonOptions,
         step: () => this.readHosts(this.version === 0 ? 0 : watchMs),
-        onTurn: (turn) => this.logTurn("hosts", turn),
+        onTurn: (turn) => this.logReachability("hosts", turn),
       }),
     ];
   }
 
-  /** Creates the watch and starts it.
-   * @param options What it needs. */
-  static create(options: PlatformWatchOptions): PlatformWatch {
-    return new PlatformWatch(options);
+  /** Creates a watcher and starts polling. */
+  static create(options: PlatformWatcherOptions): PlatformWatcher {
+    return new PlatformWatcher(options);
   }
 
-  /** Whether the documents were read at least once. */
+  /** Whether the configuration documents have been read at least once. */
   get hasDocuments(): boolean {
-    return this.hasRead;
+    return this.hasReadDocuments;
   }
 
-  /** Ends the watch. */
+  /** Stops polling. */
   async close(): Promise<void> {
     for (const loop of this.loops) loop.close();
     await this.client.close();
@@ -70,7 +70,7 @@
     for (const value of values) {
       this.revision = Math.max(this.revision, value.revision);
     }
-    this.hasRead = true;
+    this.hasReadDocuments = true;
   }
 
   private async readHosts(waitMs: number): Promise<void> {
@@ -83,25 +83,28 @@
     this.options.membership.offerHostList(list);
   }
 
-  /** Whether this router is among those of its hall that watch in the present window. */
+  /** Whether this router is one of the routers of its hall that watch the platform in the current interval. A router
+   * that is not among the responsive routers of its hall in its own view always watches. */
   private isWatcher(): boolean {
     const { id, hall, platform } = this.options.settings;
     const routers = this.options.membership.view.routers.filter((router) =>
       router.heard && router.host.hall === hall
     );
-    const window = Math.floor(Date.now() / WATCH_WINDOW_MS);
-    const others = routers.map((router) => router.host.id);
-    if (!others.includes(id)) return true;
-    return rankByRendezvous(String(window), others).indexOf(id) <
+    const interval = Math.floor(Date.now() / ROTATION_INTERVAL_MS);
+    const routerIds = routers.map((router) => router.host.id);
+    if (!routerIds.includes(id)) return true;
+    return rankByRendezvous(String(interval), routerIds).indexOf(id) <
       platform.watchersPerHall;
   }
 
-  /** Logs each change between failing and working. */
-  private logTurn(what: "documents" | "hosts", turn: PollTurn): void {
+  /** Logs when a source becomes unreachable or reachable again. */
+  private logReachability(what: "documents" | "hosts", turn: PollTurn): void {
     const hasFailed = turn === "failed";
-    if (turn === "idle" || hasFailed === this.failing.has(what)) return;
-    if (hasFailed) this.failing.add(what);
-    else this.failing.delete(what);
+    if (turn === "idle" || hasFailed === this.unreachableSources.has(what)) {
+      return;
+    }
+    if (hasFailed) this.unreachableSources.add(what);
+    else this.unreachableSources.delete(what);
     this.options.logger.info(
       { what, reachable: !hasFailed },
       "platform_reachable",
--- a/src/router/read_process.ts
+++ b/src/router/read_process_usage.ts
@@ -1,8 +1,8 @@
 import process from "node:process";
 import type { RouterStatus } from "./router_status.ts";
 
-/** Reads what this process uses. */
-export function readProcess(): RouterStatus["process"] {
+/** Reads the resource usage of this process. */
+export function readProcessUsage(): RouterStatus["process"] {
   const { user, system } = process.cpuUsage();
   return {
     memoryBytes: process.memoryUsage().rss,
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -26,35 +26,36 @@
 import type { HostList } from "../configuration_service/host_schema.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { Witness } from "../witness/witness.ts";
-import { attachPort } from "./frame_handlers.ts";
-import { HostListPull } from "./host_list_pull.ts";
-import { PlatformWatch } from "./platform_watch.ts";
-import { describeRouter } from "./describe_router.ts";
+import { attachFrameHandlers } from "./frame_handlers.ts";
+import { HostListPuller } from "./host_list_puller.ts";
+import { PlatformWatcher } from "./platform_watcher.ts";
+import { buildRouterStatus } from "./build_router_status.ts";
 import type { RouterStatus } from "./router_status.ts";
-import { RouterCrashes } from "./router_crashes.ts";
+import { RouterCrashTracker } from "./router_crash_tracker.ts";
 import { VERSION } from "./version.ts";
 
-/** Room in a frame beside the largest body. */
+/** Allowance for the other fields of a frame beyond the largest request body. */
 const FRAME_OVERHEAD_BYTES = 256 * 1024;
-/** Interval at which readiness and the end of work are looked at. */
-const CHECK_INTERVAL_MS = 50;
-/** Peers asked for their documents before a router serves. */
-const FIRST_PULLS = 3;
-/** Outcomes of keyed requests that are kept. */
+/** Interval of the checks for readiness at start-up and for open requests while draining. */
+const POLL_INTERVAL_MS = 50;
+/** Number of peers from which configuration documents are pulled before a router serves. */
+const STARTUP_PULL_PEERS = 3;
+/** Number of outcomes of requests with an idempotency key that are kept. */
 const MAX_OUTCOMES = 20_000;
 
-/** One router: entry for callers and owner of some upstreams, with everything both need. */
+/** A router of the fleet. As an entry it accepts requests of callers; as an owner it schedules the requests of all
+ * entries on the upstreams that it owns. */
 export class Router {
   private readonly logger: Logger;
   private readonly metrics: Metrics;
   private readonly audit: AuditTrail;
   private readonly system: ActorSystem = startActorSystem();
-  private readonly guard: PauseGuard;
-  private readonly secret: FleetSecret;
+  private readonly pauseGuard: PauseGuard;
+  private readonly authenticator: FleetSecret;
   private readonly loads = LoadBook.create();
   /** @internal */
   readonly outcomes: OutcomeStore;
-  private readonly directory: PeerDirectory;
+  private readonly connectionPool: PeerDirectory;
   /** @internal */
   readonly configuration: ConfigurationKeeper;
   /** @internal */
@@ -62,13 +63,13 @@
   /** @internal */
   readonly witness: Witness;
   /** @internal */
-  readonly crashes: RouterCrashes;
+  readonly crashes: RouterCrashTracker;
   private readonly dispatcher: Dispatcher;
-  private readonly hostListPull: HostListPull;
+  private readonly hostListPuller: HostListPuller;
   private membership: Membership | undefined;
-  private platform: PlatformWatch | undefined;
-  private peers: PeerServer | undefined;
-  private callers: CallerServer | undefined;
+  private platform: PlatformWatcher | undefined;
+  private peerServer: PeerServer | undefined;
+  private callerServer: CallerServer | undefined;
   private view: FleetView;
   private placement: PlacementTable;
   private phase: RouterPhase = "starting";
@@ -77,116 +78,117 @@
     this.logger = createLogger(settings.id, settings.logLevel);
     this.metrics = Metrics.create(settings.metrics, settings.id);
     this.audit = AuditTrail.create(settings.audit.capacity, this.logger);
-    this.secret = FleetSecret.create(settings.fleetSecret);
+    this.authenticator = FleetSecret.create(settings.fleetSecret);
     this.outcomes = OutcomeStore.create(settings.keys.rememberMs, MAX_OUTCOMES);
     this.view = FleetView.create(settings.id, 0, [], []);
     this.placement = PlacementTable.create(this.view, settings.region);
-    this.guard = PauseGuard.create(
+    this.pauseGuard = PauseGuard.create(
       settings.membership.pauseThresholdMs,
-      (gapMs) => this.onPause(gapMs),
+      (gapMs) => this.handlePause(gapMs),
     );
-    const shared = this.getShared();
-    this.directory = PeerDirectory.create({
-      ...shared,
+    const commonOptions = this.getCommonOptions();
+    this.connectionPool = PeerDirectory.create({
+      ...commonOptions,
       ownId: settings.id,
-      authenticator: this.secret,
+      authenticator: this.authenticator,
       connectTimeoutMs: settings.routing.acceptTimeoutMs,
-      acceptLoopback: (port) => attachPort(this, port),
+      acceptLoopback: (port) => attachFrameHandlers(this, port),
     });
     this.configuration = ConfigurationKeeper.create({
-      ...shared,
-      directory: this.directory,
+      ...commonOptions,
+      directory: this.connectionPool,
     });
     this.witness = Witness.create({
-      ...shared,
-      connectionPool: this.directory,
+      ...commonOptions,
+      connectionPool: this.connectionPool,
     });
     this.owner = Owner.create({
-      ...shared,
+      ...commonOptions,
       onLoadGrew: () => this.membership?.pushLoads(),
     });
-    this.hostListPull = HostListPull.create(
-      this.directory,
-      () => this.getHosts().version,
+    this.hostListPuller = HostListPuller.create(
+      this.connectionPool,
+      () => this.getHostList().version,
       (list) => this.membership?.offerHostList(list),
     );
-    this.crashes = RouterCrashes.create({
-      ...shared,
+    this.crashes = RouterCrashTracker.create({
+      ...commonOptions,
       metrics: this.metrics,
-      directory: this.directory,
+      connectionPool: this.connectionPool,
     });
     this.dispatcher = Dispatcher.create({
-      ...shared,
-      directory: this.directory,
+      ...commonOptions,
+      directory: this.connectionPool,
       crashGuard: this.crashes.guard,
     });
   }
 
-  /** Starts a router; it serves as soon as it has a configuration and a host list.
-   * @param settings The settings. */
+  /** Starts a router, which serves requests as soon as it has configuration documents and a host list. */
   static async start(settings: Settings): Promise<Router> {
     const router = new Router(settings);
     await router.open();
     return router;
   }
 
-  /** Stops as planned: leaves the answers to callers, serves on for their lifetime, finishes what is under way. */
+  /** Shuts down gracefully: announces that the router is unavailable, keeps serving for the lifetime of a `/locate`
+   * answer, and then completes the open requests, up to `drain.limitMs` from the call. */
   async drain(): Promise<void> {
     if (this.phase === "draining" || this.phase === "closing") return;
-    const endsAt = readClock() + this.settings.drain.limitMs;
+    const deadlineAt = readClock() + this.settings.drain.limitMs;
     this.phase = "draining";
     this.logger.info(
-      { openRequests: this.callers?.openRequests },
+      { openRequests: this.callerServer?.openRequests },
       "drain_started",
     );
     this.membership?.setUnavailable(true);
     await this.witness.drain();
     await delay(this.settings.locate.lifetimeMs);
-    this.callers?.startDraining();
-    this.callers?.stopListening();
+    this.callerServer?.startDraining();
+    this.callerServer?.stopListening();
     this.owner.stopAccepting();
-    while (this.isBusy && readClock() < endsAt) {
-      await delay(CHECK_INTERVAL_MS);
+    while (this.isBusy && readClock() < deadlineAt) {
+      await delay(POLL_INTERVAL_MS);
     }
     await this.witness.drain();
     this.logger.info(
-      { unfinished: this.callers?.openRequests ?? 0 },
+      { unfinished: this.callerServer?.openRequests ?? 0 },
       "drain_ended",
     );
     await this.close();
   }
 
-  /** Stops at once. */
+  /** Shuts down immediately. */
   async close(): Promise<void> {
     this.phase = "closing";
-    this.callers?.close();
+    this.callerServer?.close();
     await this.platform?.close();
     this.membership?.close();
-    await this.directory.close();
-    await this.peers?.close();
+    await this.connectionPool.close();
+    await this.peerServer?.close();
     await this.owner.close();
     this.witness.close();
     this.crashes.close();
     this.configuration.close();
-    this.guard.close();
+    this.pauseGuard.close();
     this.metrics.close();
     stopActorSystem(this.system);
   }
 
   /** @internal */
-  getHosts(): HostList {
+  getHostList(): HostList {
     return this.membership?.hosts ?? { version: 0, hosts: [] };
   }
 
   private get isBusy(): boolean {
-    return (this.callers?.openRequests ?? 0) > 0 || this.owner.openJobs > 0;
+    return (this.callerServer?.openRequests ?? 0) > 0 ||
+      this.owner.openJobs > 0;
   }
 
-  private getShared() {
+  private getCommonOptions() {
     return {
       settings: this.settings,
       system: this.system,
-      guard: this.guard,
+      guard: this.pauseGuard,
       logger: this.logger,
       audit: this.audit,
       loads: this.loads,
@@ -198,30 +200,31 @@
 
   private async open(): Promise<void> {
     const { settings } = this;
-    const frameLimit = settings.limits.maxBodyBytes + FRAME_OVERHEAD_BYTES;
-    this.peers = await PeerServer.create(
+    const maxFrameBytes = settings.limits.maxBodyBytes + FRAME_OVERHEAD_BYTES;
+    this.peerServer = await PeerServer.create(
       settings.peer,
-      this.secret,
-      frameLimit,
-      (port) => attachPort(this, port),
+      this.authenticator,
+      maxFrameBytes,
+      (port) => attachFrameHandlers(this, port),
     );
     this.membership = await Membership.create({
-      ...this.getShared(),
-      secret: this.secret,
+      ...this.getCommonOptions(),
+      secret: this.authenticator,
       getConfiguration: () => this.getConfigurationDigest(),
       getLoads: () => this.owner.getLoads(),
       onPeerConfiguration: (id, digest, revision) =>
         this.configuration.noticePeer(id, digest, revision),
       onPeerLoads: (id, loads) => this.owner.takePeerLoads(id, loads),
-      onNewerHosts: (id, version) => this.hostListPull.notice(id, version),
-      onView: (view) => this.takeView(view),
+      onNewerHosts: (id, version) =>
+        this.hostListPuller.handleNewerVersion(id, version),
+      onView: (view) => this.applyView(view),
     });
-    this.platform = PlatformWatch.create({
-      ...this.getShared(),
+    this.platform = PlatformWatcher.create({
+      ...this.getCommonOptions(),
       membership: this.membership,
       configuration: this.configuration,
     });
-    this.callers = await CallerServer.create(this.createEntryContext());
+    this.callerServer = await CallerServer.create(this.createEntryContext());
     this.logger.info({
       http: settings.http.port,
       peer: settings.peer.port,
@@ -237,7 +240,7 @@
       metrics,
       audit,
       configuration,
-      directory,
+      connectionPool,
       dispatcher,
       outcomes,
     } = this;
@@ -247,7 +250,7 @@
       metrics,
       audit,
       configuration,
-      directory,
+      directory: connectionPool,
       dispatcher,
       outcomes,
       getView: () => this.view,
@@ -257,23 +260,25 @@
     };
   }
 
-  /** Waits for a host list, then for the documents of some peers or of the platform, before it serves. */
+  /** Waits for a host list, then for configuration documents from peers or the platform, and starts to serve. */
   private async becomeReady(): Promise<void> {
     while (this.view.version === 0 && this.phase === "starting") {
-      await delay(CHECK_INTERVAL_MS);
+      await delay(POLL_INTERVAL_MS);
     }
-    const others = this.view.routers.map((router) => router.host.id).filter((
+    const peerIds = this.view.routers.map((router) => router.host.id).filter((
       id,
     ) => id !== this.settings.id);
     void this.witness.synchronize();
     const pulls = await Promise.all(
-      others.slice(0, FIRST_PULLS).map((id) => this.configuration.pullAll(id)),
+      peerIds.slice(0, STARTUP_PULL_PEERS).map((id) =>
+        this.configuration.pullAll(id)
+      ),
     );
     const hasPulled = pulls.includes(true) &&
       this.configuration.documents.revision > 0;
     while (
       !hasPulled && !this.platform?.hasDocuments && this.phase === "starting"
-    ) await delay(CHECK_INTERVAL_MS);
+    ) await delay(POLL_INTERVAL_MS);
     if (this.phase !== "starting") return;
     this.phase = "serving";
     this.membership?.setUnavailable(false);
@@ -283,15 +288,15 @@
     );
   }
 
-  private takeView(view: FleetView): void {
-    this.crashes.takeView(this.view, view);
+  private applyView(view: FleetView): void {
+    this.crashes.handleViewChange(this.view, view);
     this.view = view;
     this.placement = PlacementTable.create(view, this.settings.region);
-    this.directory.closeLostConnections(view);
+    this.connectionPool.closeLostConnections(view);
     this.witness.handleViewChange(view);
   }
 
-  private onPause(gapMs: number): void {
+  private handlePause(gapMs: number): void {
     this.membership?.forgetProbes();
     this.owner.notePause();
     this.logger.warn({ gapMs: Math.round(gapMs) }, "process_was_paused");
@@ -305,7 +310,7 @@
   }
 
   private describe(): RouterStatus {
-    return describeRouter({
+    return buildRouterStatus({
       id: this.settings.id,
       phase: this.phase,
       configuration: {
@@ -314,7 +319,7 @@
       },
       view: this.view,
       upstreams: this.owner.describe(),
-      openRequests: this.callers?.openRequests ?? 0,
+      openRequests: this.callerServer?.openRequests ?? 0,
       witness: this.witness.describe(),
       probes: getOrThrow(this.membership, "membership").traffic,
     });
--- a/src/router/router_crashes.ts
+++ b/src/router/router_crash_tracker.ts
@@ -9,21 +9,21 @@
 import type { Metrics } from "../metrics/metrics.ts";
 import type { PeerDirectory } from "../peer/peer_directory.ts";
 
-/** What it needs of the rest of the router. */
-export interface RouterCrashesOptions {
+/** Dependencies of a `RouterCrashTracker`. */
+export interface RouterCrashTrackerOptions {
   logger: Logger;
   metrics: Metrics;
-  directory: PeerDirectory;
+  connectionPool: PeerDirectory;
   getView: () => FleetView;
 }
 
-/** What a router remembers of requests that crash upstreams, and tells other routers over its connections to them. */
-export class RouterCrashes {
-  /** Keeps such requests from more upstreams. */
+/** Tracks requests that crash upstreams and gossips them to the other routers over the peer connections. */
+export class RouterCrashTracker {
+  /** Refuses requests that are likely to crash further upstreams. */
   readonly guard: CrashGuard;
   private readonly gossip: CrashGossip;
 
-  private constructor(private readonly options: RouterCrashesOptions) {
+  private constructor(private readonly options: RouterCrashTrackerOptions) {
     const { logger, metrics } = options;
     this.guard = CrashGuard.create({
       logger,
@@ -35,39 +35,35 @@
     });
     this.gossip = CrashGossip.create({
       memory: this.guard.memory,
-      getHosts: () => this.getHeardRouters(),
+      getHosts: () => this.getReachablePeerIds(),
       send: (routerId, words) => void this.send(routerId, words),
     });
   }
 
-  /** Creates what remembers nothing.
-   * @param options What it needs. */
-  static create(options: RouterCrashesOptions): RouterCrashes {
-    return new RouterCrashes(options);
+  /** Creates a tracker without records. */
+  static create(options: RouterCrashTrackerOptions): RouterCrashTracker {
+    return new RouterCrashTracker(options);
   }
 
-  /** Takes over what another router tells.
-   * @param words What it tells. */
-  learn(words: readonly CrashWord[]): void {
+  /** Merges the crash records that another router sent. */
+  mergeReports(words: readonly CrashWord[]): void {
     this.guard.memory.learn(words, readClock());
   }
 
-  /** Takes a new view: upstreams that are gone from the list have ended.
-   * @param before The view until now.
-   * @param after The view from now on. */
-  takeView(before: FleetView, after: FleetView): void {
-    for (const { id } of before.upstreams) {
-      if (!after.getUpstream(id)) this.guard.noteGone(hashText(id));
+  /** Handles a new view of the fleet: upstreams that are no longer listed count as ended. */
+  handleViewChange(previous: FleetView, current: FleetView): void {
+    for (const { id } of previous.upstreams) {
+      if (!current.getUpstream(id)) this.guard.noteGone(hashText(id));
     }
   }
 
-  /** Stops telling. */
+  /** Stops the gossip and the pending crash checks. */
   close(): void {
     this.gossip.close();
     this.guard.close();
   }
 
-  private getHeardRouters(): string[] {
+  private getReachablePeerIds(): string[] {
     const view = this.options.getView();
     return view.routers.filter(({ host, heard }) =>
       heard && host.id !== view.ownId
@@ -78,7 +74,7 @@
     routerId: string,
     words: readonly CrashWord[],
   ): Promise<void> {
-    const client = await this.options.directory.getClient(routerId);
+    const client = await this.options.connectionPool.getClient(routerId);
     client?.send({ type: "crash_words", exchange: 0, words: [...words] });
   }
 }
--- a/src/router/router_status.ts
+++ b/src/router/router_status.ts
@@ -1,7 +1,7 @@
 import type { RouterPhase } from "../entry/entry_context.ts";
 import type { UpstreamStatus } from "../owner/upstream_status.ts";
 
-/** Everything operators see of a router. */
+/** The status answer of a router. */
 export interface RouterStatus {
   id: string;
   version: string;
@@ -9,12 +9,14 @@
   configuration: { digest: number; revision: number; customers: number };
   hostListVersion: number;
   routers: { id: string; heard: boolean; unavailable: boolean }[];
-  /** The upstreams this router owns or still has work on. */
+  /** The upstreams that this router owns or still has requests on. */
   upstreams: UpstreamStatus[];
   openRequests: number;
-  /** Keys remembered for the fleet, and whether the records of all other routers were read since the start. */
+  /** Number of idempotency keys stored for the fleet, and whether the records of all other routers were received since
+   * the start. */
   witness: { keys: number; synchronized: boolean };
-  /** What was sent to other routers since the start, apart from requests and answers. */
+  /** Control traffic sent to other routers since the start: probes, and frames other than those of requests and
+   * answers. */
   control: {
     probeBytes: number;
     probeMessages: number;
--- a/src/router/version.ts
+++ b/src/router/version.ts
@@ -1,2 +1,1 @@
-/** Version of the program. */
 export const VERSION = "0.1.0";
