--- a/src/router/platform_watcher.ts
+++ b/src/router/platform_watcher.ts
@@ -25,7 +25,7 @@
   private revision = 0;
   private version = 0;
   private hasReadDocuments = false;
-  private readonly unreachableSources = new Set<string>();
+  private readonly failedSources = new Set<string>();
 
   private constructor(private readonly options: PlatformWatcherOptions) {
     const { url, watchMs, retryMs } = options.settings.platform;
@@ -100,11 +100,9 @@
   /** Logs when a source becomes unreachable or reachable again. */
   private logReachability(what: "documents" | "hosts", turn: PollTurn): void {
     const hasFailed = turn === "failed";
-    if (turn === "idle" || hasFailed === this.unreachableSources.has(what)) {
-      return;
-    }
-    if (hasFailed) this.unreachableSources.add(what);
-    else this.unreachableSources.delete(what);
+    if (turn === "idle" || hasFailed === this.failedSources.has(what)) return;
+    if (hasFailed) this.failedSources.add(what);
+    else this.failedSources.delete(what);
     this.options.logger.info(
       { what, reachable: !hasFailed },
       "platform_reachable",
--- a/src/router/router_crash_tracker.ts
+++ b/src/router/router_crash_tracker.ts
@@ -17,7 +17,7 @@
   getView: () => FleetView;
 }
 
-/** Tracks requests that crash upstreams and gossips them to the other routers over the peer connections. */
+/** Tracks requests that crash upstreams, and gossips reports of them to the other routers over the peer connections. */
 export class RouterCrashTracker {
   /** Refuses requests that are likely to crash further upstreams. */
   readonly guard: CrashGuard;
@@ -36,18 +36,18 @@
     this.gossip = CrashGossip.create({
       memory: this.guard.memory,
       getHosts: () => this.getReachablePeerIds(),
-      send: (routerId, words) => void this.send(routerId, words),
+      send: (routerId, reports) => void this.send(routerId, reports),
     });
   }
 
-  /** Creates a tracker without records. */
+  /** Creates a tracker without reports. */
   static create(options: RouterCrashTrackerOptions): RouterCrashTracker {
     return new RouterCrashTracker(options);
   }
 
-  /** Merges the crash records that another router sent. */
-  mergeReports(words: readonly CrashWord[]): void {
-    this.guard.memory.learn(words, readClock());
+  /** Merges the crash reports that another router sent. */
+  mergeReports(reports: readonly CrashWord[]): void {
+    this.guard.memory.learn(reports, readClock());
   }
 
   /** Handles a new view of the fleet: upstreams that are no longer listed count as ended. */
@@ -72,9 +72,9 @@
 
   private async send(
     routerId: string,
-    words: readonly CrashWord[],
+    reports: readonly CrashWord[],
   ): Promise<void> {
     const client = await this.options.connectionPool.getClient(routerId);
-    client?.send({ type: "crash_words", exchange: 0, words: [...words] });
+    client?.send({ type: "crash_words", exchange: 0, words: [...reports] });
   }
 }
