--- a/src/peer/peer_directory.ts
+++ b/src/peer/peer_directory.ts
@@ -5,7 +5,7 @@
 import { LoopbackFramePort } from "./loopback_frame_port.ts";
 import { PeerClient } from "./peer_client.ts";
 
-/** Dependencies of a `PeerDirectory`. */
+/** Dependencies of the connection pool. */
 export interface PeerDirectoryOptions {
   ownId: string;
   authenticator: FleetSecret;
