--- a/src/published/configuration_schema.ts
+++ b/src/published/configuration_schema.ts
@@ -1,64 +1,63 @@
 import { z } from "zod";
 
-/** How often a request of a route may run: any number of times, at most once, or as a stream of events. */
+/** Kinds of routes: requests that may run any number of times, requests that run at most once, and event streams. */
 export const ROUTE_KINDS = ["repeatable", "once", "stream"] as const;
 
-/** One service that a route sends to, with its part of the requests. */
+/** A service that a route forwards to, with its weight among the services of the route. */
 const serviceShareSchema = z.object({
   service: z.string(),
   weight: z.number().nonnegative(),
 });
 
-/** One route: which requests it takes and how they are run. */
+/** Schema of a route: which requests it matches and how they are forwarded. */
 export const routeSchema = z.object({
   name: z.string(),
   host: z.string(),
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: z.string(),
   kind: z.enum(ROUTE_KINDS),
-  /** Longest time the operator lets a request take, in milliseconds. */
+  /** Maximum duration of a request that the operator allows, in milliseconds. */
   timeoutMs: z.number().positive(),
-  /** Time within which an answer has its full value, in milliseconds; for streams, to the first event. */
+  /** Latency objective in milliseconds: the time within which a response has its full value. For streams, it applies to
+   * the first event. */
   objectiveMs: z.number().positive(),
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: z.number().int(),
   shares: z.array(serviceShareSchema).min(1),
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams that one request may be sent to. */
   maxAttempts: z.number().int().min(1),
-  /** Whether requests need no key. */
+  /** Whether requests need no API key. */
   isAnonymous: z.boolean(),
-  /** Whether requests name the parts of their prompt. */
-  /** Whether a stream may go on at another upstream after its last event. */
+  /** Whether an interrupted stream may be resumed on another upstream after its last event. */
   isResumable: z.boolean(),
-  /** Longest pause between two events that is in time, in milliseconds. */
+  /** Latency objective for the gap between two events of a stream, in milliseconds. */
   gapObjectiveMs: z.number().optional(),
 });
 
-/** One route. */
+/** A route of the published configuration. */
 export type Route = z.infer<typeof routeSchema>;
 
-/** What is published of one service. */
+/** Schema of a published service. */
 export const serviceSchema = z.object({
   name: z.string(),
-  /** Connections an upstream of the service takes from all callers together. */
+  /** Maximum number of connections that an upstream of the service accepts from all callers together. */
   maxConnections: z.number().int().positive(),
-  /** Whether the upstreams are model engines. */
-  /** Whether an engine can take from another what that keeps of a prompt. */
+  /** Whether an engine of the service can fetch cached parts of a prompt from another engine. */
   canFetch: z.boolean(),
 });
 
-/** One service. */
+/** A service of the published configuration. */
 export type Service = z.infer<typeof serviceSchema>;
 
-/** A customer with the keys that its callers show. */
+/** A customer with the API keys of its callers. */
 const customerSchema = z.object({
   name: z.string(),
   keys: z.array(z.string()),
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: z.number().int(),
 });
 
-/** What callers may send, and how long they may take. */
+/** Size limits and timeouts of callers' requests. */
 const callerLimitsSchema = z.object({
   maxHeaderBytes: z.number().int().positive(),
   maxBodyBytes: z.number().int().positive(),
@@ -66,16 +65,16 @@
   idleTimeoutMs: z.number().positive(),
 });
 
-/** Limits for callers. */
+/** Size limits and timeouts of callers' requests. */
 export type CallerLimits = z.infer<typeof callerLimitsSchema>;
 
-/** The whole published configuration; the highest version is in force. */
+/** Schema of the published configuration; the highest version is in force. */
 export const configurationSchema = z.object({
   version: z.number().int(),
   routes: z.array(routeSchema),
   services: z.array(serviceSchema),
   limits: callerLimitsSchema,
-  /** Undefined where no request needs a key. */
+  /** Undefined if no request needs an API key. */
   customers: z.array(customerSchema).optional(),
 });
 
--- a/src/published/feed_error.ts
+++ b/src/published/feed_error.ts
@@ -1,16 +1,16 @@
 import type { FeedFailure } from "./publication_feed.ts";
 
-/** A read of what is published that failed. */
+/** A failed read from a publication feed. */
 export class FeedError extends Error {
   private constructor(
-    /** Why it failed. */
+    /** Reason of the failure. */
     readonly failure: FeedFailure,
   ) {
     super(failure.kind === "unavailable" ? failure.detail : failure.kind);
   }
 
   /** Creates an error.
-   * @param failure Why the read failed. */
+   * @param failure Reason of the failure. */
   static create(failure: FeedFailure): FeedError {
     return new FeedError(failure);
   }
--- a/src/published/feed_watcher.ts
+++ b/src/published/feed_watcher.ts
@@ -6,62 +6,62 @@
 import type { PublicationFeed } from "./publication_feed.ts";
 import type { PublicationKeeper } from "./publication_keeper.ts";
 
-/** What the watcher needs and how it is paced. */
+/** Dependencies and timing of a feed watcher. */
 export interface FeedWatcherOptions {
   feed: PublicationFeed;
   keeper: PublicationKeeper;
   logger: Logger;
-  /** Longest wait of one watch in milliseconds; it bounds how old an unchanged state may look. */
+  /** Maximum wait of one watch in milliseconds. It bounds the apparent age of data that does not change. */
   watchMs: number;
-  /** Pause after a failure in milliseconds, drawn between half and one and a half of it. */
+  /** Mean pause after a failure in milliseconds; the actual pause is drawn between 0.5 and 1.5 times this value. */
   getRetryMs: () => number;
-  /** Pause after changes came, in milliseconds, so that those which follow come together. */
+  /** Pause after a watch that returned changes, in milliseconds, so that changes which follow arrive in one batch. */
   gatherMs: number;
-  /** Mean interval of the check whether to watch, in milliseconds. */
+  /** Mean interval in milliseconds at which an idle watcher checks whether this process should watch. */
   idleCheckMs: number;
-  /** Whether this process is to watch now, rather than hear from peers. */
+  /** Whether this process should watch the feed now instead of receiving the changes from its peers. */
   isNeeded: () => boolean;
 }
 
-/** Repeats long polls of what is published while this process is to watch. */
+/** Reads a snapshot and then long-polls the feed for changes while this process should watch. */
 export class FeedWatcher {
   private readonly loop: PollLoop;
   private revision: number | undefined;
   private failedSince: number | undefined;
-  private answeredAt = readClock();
+  private lastSuccessAt = readClock();
 
   private constructor(private readonly options: FeedWatcherOptions) {
     this.loop = PollLoop.create({
-      step: () => this.step(),
+      step: () => this.poll(),
       isActive: options.isNeeded,
       getPauseMs: (turn) =>
         turn === "idle" ? options.idleCheckMs : options.getRetryMs(),
-      onTurn: (turn, error) => this.noteTurn(turn, error),
+      onTurn: (turn, error) => this.handleTurn(turn, error),
     });
   }
 
   /** Creates a watcher and starts it.
-   * @param options What it needs. */
+   * @param options Dependencies and timing. */
   static create(options: FeedWatcherOptions): FeedWatcher {
     return new FeedWatcher(options);
   }
 
-  /** Ends the watch after the call under way. */
+  /** Stops watching after the pending call. */
   close(): void {
     this.loop.close();
   }
 
-  private noteTurn(turn: PollTurn, error: unknown): void {
+  private handleTurn(turn: PollTurn, error: unknown): void {
     if (turn === "idle") this.revision = undefined;
-    if (turn === "worked") this.noteSuccess();
-    if (turn === "failed") this.noteFailure(error);
+    if (turn === "worked") this.recordSuccess();
+    if (turn === "failed") this.recordFailure(error);
   }
 
-  private async step(): Promise<void> {
-    const askedAt = readClock();
+  private async poll(): Promise<void> {
+    const requestedAt = readClock();
     if (this.revision === undefined) {
       const snapshot = await this.options.feed.readSnapshot();
-      this.options.keeper.takeSnapshot(snapshot, askedAt);
+      this.options.keeper.applySnapshot(snapshot, requestedAt);
       this.logProblems(snapshot.problems);
       this.revision = snapshot.revision;
       return;
@@ -70,9 +70,9 @@
     const changes = await feed.watch(this.revision, watchMs);
     const isEmpty = changes.upstreams.length === 0 &&
       changes.configuration === undefined;
-    // An empty answer was held for the whole wait, so there was no change up to the wait's end.
-    const heldUntil = Math.min(readClock(), askedAt + watchMs);
-    keeper.takeChanges(changes, isEmpty ? heldUntil : askedAt);
+    // The platform holds an empty response for the whole wait, so nothing changed until the end of the wait.
+    const heldUntil = Math.min(readClock(), requestedAt + watchMs);
+    keeper.applyChanges(changes, isEmpty ? heldUntil : requestedAt);
     this.logProblems(changes.problems);
     this.revision = changes.revision;
     if (!isEmpty) await delay(this.options.gatherMs);
@@ -84,17 +84,17 @@
     }
   }
 
-  private noteSuccess(): void {
+  private recordSuccess(): void {
     const now = readClock();
     if (this.failedSince !== undefined) {
-      const outageMs = Math.round(now - this.answeredAt);
+      const outageMs = Math.round(now - this.lastSuccessAt);
       this.options.logger.info({ outageMs }, "platform_regained");
     }
     this.failedSince = undefined;
-    this.answeredAt = now;
+    this.lastSuccessAt = now;
   }
 
-  private noteFailure(error: unknown): void {
+  private recordFailure(error: unknown): void {
     if (error instanceof FeedError && error.failure.kind === "history_lost") {
       this.options.logger.info(
         { revision: this.revision },
--- a/src/published/freshness.ts
+++ b/src/published/freshness.ts
@@ -1,23 +1,24 @@
-/** The moment up to which this process is sure to know everything that was published. */
+/** Tracks the time up to which this process is certain to know everything that was published. */
 export class Freshness {
-  private knownUpTo = -Infinity;
+  private completeUntil = -Infinity;
 
   private constructor() {}
 
-  /** Creates a freshness of never. */
+  /** Creates a tracker for a process that knows nothing yet; its age is infinite. */
   static create(): Freshness {
     return new Freshness();
   }
 
-  /** Records that everything published before a moment is known; earlier moments than the known one change nothing.
+  /** Records that everything published before the given time is known. An earlier time than the recorded one has no
+   * effect.
    * @param moment Monotonic milliseconds of this process. */
   confirm(moment: number): void {
-    this.knownUpTo = Math.max(this.knownUpTo, moment);
+    this.completeUntil = Math.max(this.completeUntil, moment);
   }
 
-  /** Age of what is known, in milliseconds.
+  /** Returns the age of the known data, in milliseconds.
    * @param now Monotonic milliseconds. */
   getAge(now: number): number {
-    return Math.max(0, now - this.knownUpTo);
+    return Math.max(0, now - this.completeUntil);
   }
 }
--- a/src/published/pack_configuration.ts
+++ b/src/published/pack_configuration.ts
@@ -5,23 +5,25 @@
   type PublishedConfiguration,
 } from "./configuration_schema.ts";
 
-/** Effort of the compression: the least, for routes are so alike that more of it saves little. */
-const LEVEL = 1;
-/** Longest unpacked configuration that is taken, in bytes: many times what the platform publishes. */
-const MAX_BYTES = 64 * 1024 * 1024;
+/** Deflate level: the lowest, because routes are so similar that a higher level saves little. */
+const COMPRESSION_LEVEL = 1;
+/** Maximum size of an unpacked configuration in bytes; many times the size that the platform publishes. */
+const MAX_UNPACKED_BYTES = 64 * 1024 * 1024;
 
-/** Writes a configuration for another host, compressed: thousands of routes are told to every host at the same time.
- * @param configuration The configuration. */
+/** Serializes and compresses a configuration for another host. It is compressed because configurations with thousands
+ * of routes are sent to every host at the same time. */
 export function packConfiguration(
   configuration: PublishedConfiguration,
 ): Buffer {
-  return deflateRawSync(pack(configuration), { level: LEVEL });
+  return deflateRawSync(pack(configuration), { level: COMPRESSION_LEVEL });
 }
 
-/** Reads a configuration that another host wrote.
- * @param bytes What it wrote.
- * @throws Error where the bytes can't be unpacked, ZodError where they are no configuration. */
+/** Deserializes a configuration that another host packed.
+ * @param bytes Result of `packConfiguration`.
+ * @throws Error if the bytes can't be unpacked, ZodError if they are not a valid configuration. */
 export function unpackConfiguration(bytes: Uint8Array): PublishedConfiguration {
-  const unpacked = inflateRawSync(bytes, { maxOutputLength: MAX_BYTES });
+  const unpacked = inflateRawSync(bytes, {
+    maxOutputLength: MAX_UNPACKED_BYTES,
+  });
   return configurationSchema.parse(unpack(unpacked));
 }
--- a/src/published/position.ts
+++ b/src/published/position.ts
@@ -1,34 +1,32 @@
-/** Place of a change among all that is published, which grows with each change. The platform's own numbers go back where it is
- * restored from an older copy; its era, which rises then, counts first. */
+/** Positions order all published changes. The platform's own revision numbers go back when it is restored from an older
+ * backup. Its era rises with each restore, so a position compares the era first and the revision second. */
 
-/** Changes of one era at most; both parts fit into an exact number. */
-const ERA_STEP = 2 ** 40;
-/** Greatest era whose positions are exact numbers. */
+/** Maximum number of changes in one era. Era and revision together fit into an exact (safe) integer. */
+const POSITIONS_PER_ERA = 2 ** 40;
+/** Highest era whose positions are exact numbers. */
 export const MAX_ERA = 2 ** 12 - 1;
-/** What puts a correction of a change right after it, and before the next change. */
-const CORRECTION_STEP = 0.5;
+/** Places a correction directly after the change that it corrects and before the next change. */
+const CORRECTION_OFFSET = 0.5;
 
 /** Creates the position of a change.
- * @param era Number of restores of the platform before it.
- * @param revision The platform's number of the change. */
+ * @param era Number of restores of the platform before the change.
+ * @param revision The platform's revision number of the change. */
 export function createPosition(era: number, revision: number): number {
-  return era * ERA_STEP + revision;
+  return era * POSITIONS_PER_ERA + revision;
 }
 
-/** The era of a position.
- * @param position The position. */
+/** Returns the era of a position. */
 export function getEra(position: number): number {
-  return Math.floor(position / ERA_STEP);
+  return Math.floor(position / POSITIONS_PER_ERA);
 }
 
-/** The platform's own number of a change.
- * @param position The position. */
+/** Returns the platform's revision number of a position. */
 export function getRevision(position: number): number {
-  return Math.floor(position % ERA_STEP);
+  return Math.floor(position % POSITIONS_PER_ERA);
 }
 
-/** The position of what a host knows better than the change there.
- * @param position The position of the change. */
-export function correctPosition(position: number): number {
-  return Math.floor(position) + CORRECTION_STEP;
+/** Creates the position of a correction to a change, used where a host has newer knowledge than the restored platform.
+ * @param position Position of the corrected change. */
+export function createCorrectionPosition(position: number): number {
+  return Math.floor(position) + CORRECTION_OFFSET;
 }
--- a/src/published/publication.ts
+++ b/src/published/publication.ts
@@ -1,38 +1,39 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PublishedConfiguration } from "./configuration_schema.ts";
-import { correctPosition, getEra } from "./position.ts";
+import { createCorrectionPosition, getEra } from "./position.ts";
 import type { UpstreamChange } from "./publication_feed.ts";
-import { correctRestored } from "./restored_upstream.ts";
+import { correctRestoredUpstream } from "./restored_upstream.ts";
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
-/** Time for which it is remembered that an upstream is gone, so that no peer brings it back. */
-const GONE_REMEMBERED_MS = 120_000;
+/** Time for which the record of a removed upstream (tombstone) is kept, so that no peer can re-add the upstream. */
+const TOMBSTONE_TTL_MS = 120_000;
 
-interface Known {
+/** Last known change of an upstream. A record without an upstream is a tombstone. */
+interface UpstreamRecord {
   revision: number;
   upstream: PublishedUpstream | undefined;
-  /** The upstream as last published, also where it is gone since. */
+  /** The upstream as last published, even if it has been removed since. */
   last: PublishedUpstream | undefined;
-  /** Monotonic milliseconds at which this became known here. */
-  knownAt: number;
+  /** Monotonic milliseconds at which this process learned of the change. */
+  learnedAt: number;
 }
 
-/** What changed when something was merged. */
+/** Effect of a merge. */
 export interface MergeResult {
-  /** Whether a newer configuration is now in force. */
-  isConfigurationNew: boolean;
-  /** Changes of upstreams that were news. */
+  /** Whether a newer configuration is in force now. */
+  hasNewConfiguration: boolean;
+  /** Changes of upstreams that were not known before. */
   changes: UpstreamChange[];
 }
 
-/** Everything published that this process knows.
- * Of the configuration the highest version, and of each upstream the highest position is kept, so that merging
- * gives the same result in any order and never goes back. */
+/** All published data that this process knows.
+ * It keeps the highest version of the configuration and the highest position of each upstream, so merging
+ * gives the same result in any order and never returns to an older state. */
 export class Publication {
-  private current: PublishedConfiguration | undefined;
-  private readonly known = new Map<string, Known>();
+  private currentConfiguration: PublishedConfiguration | undefined;
+  private readonly records = new Map<string, UpstreamRecord>();
   private highestRevision = 0;
-  private knownUpTo = 0;
+  private completePosition = 0;
   private digestSum = 0;
 
   private constructor() {}
@@ -42,39 +43,38 @@
     return new Publication();
   }
 
-  /** The configuration in force, or nothing before the first. */
+  /** The configuration in force; undefined before the first one is merged. */
   get configuration(): PublishedConfiguration | undefined {
-    return this.current;
+    return this.currentConfiguration;
   }
 
-  /** Highest position of any change that was merged. */
+  /** Highest position of all merged changes. */
   get revision(): number {
     return this.highestRevision;
   }
 
-  /** Number of restores of the platform, as far as is known. */
+  /** Highest known era of the platform: the number of times it has been restored. */
   get era(): number {
-    return getEra(this.knownUpTo);
+    return getEra(this.completePosition);
   }
 
-  /** Revision up to which no change is missing here. */
+  /** Position up to which no change is missing here. */
   get completeUpTo(): number {
-    return this.knownUpTo;
+    return this.completePosition;
   }
 
-  /** A number that is equal on two processes that know the same. */
+  /** Digest that is equal on processes that know the same configuration version and the same upstream changes. */
   get digest(): number {
-    return (this.digestSum + (this.current?.version ?? 0)) >>> 0;
+    return (this.digestSum + (this.currentConfiguration?.version ?? 0)) >>> 0;
   }
 
-  /** Notes that no change up to a revision is missing.
-   * @param revision The revision. */
-  noteComplete(revision: number): void {
-    this.knownUpTo = Math.max(this.knownUpTo, revision);
+  /** Records that no change up to a position is missing. */
+  markCompleteUpTo(revision: number): void {
+    this.completePosition = Math.max(this.completePosition, revision);
   }
 
   /** Merges a configuration and changes of upstreams.
-   * @param configuration The configuration, where there is one.
+   * @param configuration The configuration, if there is one.
    * @param changes The changes, in any order.
    * @param now Monotonic milliseconds. */
   merge(
@@ -82,18 +82,20 @@
     changes: readonly UpstreamChange[],
     now: number,
   ): MergeResult {
-    const isConfigurationNew = configuration !== undefined &&
-      configuration.version > (this.current?.version ?? -Infinity);
-    if (isConfigurationNew) this.current = configuration;
-    const news = changes.filter((change) => this.mergeChange(change, now));
-    this.forgetGone(now);
-    return { isConfigurationNew, changes: news };
+    const hasNewConfiguration = configuration !== undefined &&
+      configuration.version > (this.currentConfiguration?.version ?? -Infinity);
+    if (hasNewConfiguration) this.currentConfiguration = configuration;
+    const newChanges = changes.filter((change) =>
+      this.mergeChange(change, now)
+    );
+    this.removeExpiredTombstones(now);
+    return { hasNewConfiguration, changes: newChanges };
   }
 
-  /** Merges a snapshot: what it lacks and was known before it is gone.
-   * @param revision Revision of the snapshot.
-   * @param configuration Its configuration.
-   * @param changes Its upstreams.
+  /** Merges a snapshot. Upstreams that it does not list are removed, unless they changed after the snapshot.
+   * @param revision Position of the snapshot.
+   * @param configuration Configuration in the snapshot.
+   * @param changes Upstreams in the snapshot.
    * @param now Monotonic milliseconds. */
   mergeSnapshot(
     revision: number,
@@ -102,20 +104,23 @@
     now: number,
   ): MergeResult {
     const listed = new Set(changes.map((change) => change.id));
-    const gone = [...this.known].filter(([id, known]) =>
-      known.upstream !== undefined && !listed.has(id) &&
-      known.revision < revision
+    const removed = [...this.records].filter(([id, record]) =>
+      record.upstream !== undefined && !listed.has(id) &&
+      record.revision < revision
     ).map(([id]) => ({ id, revision, upstream: undefined }));
-    const corrected = changes.map((change) => this.correct(change, true));
-    return this.merge(configuration, [...corrected, ...gone], now);
+    const corrected = changes.map((change) =>
+      this.correctRestoredChange(change, true)
+    );
+    return this.merge(configuration, [...corrected, ...removed], now);
   }
 
-  /** Merges what a peer knows. Of an era that is new here, what the peer doesn't list was not published in it.
+  /** Merges the state of a peer. If its era is new here, upstreams that the peer does not list are removed: they have
+   * not been published in that era.
    * @param completeUpTo Position up to which the peer misses no change.
-   * @param configuration Its configuration.
-   * @param changes All changes after a position up to which none is missing here.
+   * @param configuration The peer's configuration.
+   * @param changes All of the peer's changes after a position up to which this process misses none.
    * @param now Monotonic milliseconds. */
-  mergeState(
+  mergePeerState(
     completeUpTo: number,
     configuration: PublishedConfiguration | undefined,
     changes: readonly UpstreamChange[],
@@ -124,67 +129,76 @@
     const era = getEra(completeUpTo);
     if (era <= this.era) return this.merge(configuration, changes, now);
     const listed = new Set(changes.map((change) => change.id));
-    const gone = [...this.known].filter(([id, known]) =>
-      known.upstream !== undefined && !listed.has(id) &&
-      getEra(known.revision) < era
+    const removed = [...this.records].filter(([id, record]) =>
+      record.upstream !== undefined && !listed.has(id) &&
+      getEra(record.revision) < era
     ).map(([id]) => ({ id, revision: completeUpTo, upstream: undefined }));
-    // What is gone here may have been written again before the peer told it.
-    const corrected = changes.map((change) => this.correct(change, false));
-    return this.merge(configuration, [...corrected, ...gone], now);
+    // An upstream that was removed here may have been published again before the peer sent its state.
+    const corrected = changes.map((change) =>
+      this.correctRestoredChange(change, false)
+    );
+    return this.merge(configuration, [...corrected, ...removed], now);
   }
 
-  /** All upstreams as they are known, with those lately gone.
-   * @param after Revision after which they changed; 0 for all. */
+  /** Returns the last known change of each upstream, including the tombstones of removed ones.
+   * @param after Position after which the upstream changed; 0 for all. */
   getChanges(after = 0): UpstreamChange[] {
-    return [...this.known].filter(([, { revision }]) => revision > after).map(
+    return [...this.records].filter(([, { revision }]) => revision > after).map(
       ([id, { revision, upstream }]) => ({ id, revision, upstream }),
     );
   }
 
-  /** Corrects a change of a newer era by what is known from the one before.
+  /** Corrects a change of a newer era by what is known from the era before.
    * @param change The change.
-   * @param isCopy Whether it is as the platform was restored, so that what is gone here had been there before. */
-  private correct(change: UpstreamChange, isCopy: boolean): UpstreamChange {
-    const { id, revision, upstream: copy } = change;
-    const before = this.known.get(id);
-    if (!copy || !before?.last) return change;
-    if (getEra(before.revision) >= getEra(revision)) return change;
-    const isGone = before.upstream === undefined;
-    if (isGone && !isCopy) return change;
-    const upstream = correctRestored({ last: before.last, isGone }, copy);
-    if (upstream === copy) return change;
-    return { id, revision: correctPosition(revision), upstream };
+   * @param isFromSnapshot Whether it comes from a snapshot of the restored platform. Only then does an upstream that
+   * was removed here count as removed after the backup; a peer's change may be a later publication of it. */
+  private correctRestoredChange(
+    change: UpstreamChange,
+    isFromSnapshot: boolean,
+  ): UpstreamChange {
+    const { id, revision, upstream: restored } = change;
+    const previous = this.records.get(id);
+    if (!restored || !previous?.last) return change;
+    if (getEra(previous.revision) >= getEra(revision)) return change;
+    const isRemoved = previous.upstream === undefined;
+    if (isRemoved && !isFromSnapshot) return change;
+    const upstream = correctRestoredUpstream({
+      last: previous.last,
+      isRemoved,
+    }, restored);
+    if (upstream === restored) return change;
+    return { id, revision: createCorrectionPosition(revision), upstream };
   }
 
   private mergeChange(change: UpstreamChange, now: number): boolean {
     if (getEra(change.revision) < this.era) return false;
-    const before = this.known.get(change.id);
-    if (before && before.revision >= change.revision) return false;
-    if (before) this.addToDigest(change.id, before, -1);
-    const known = {
+    const previous = this.records.get(change.id);
+    if (previous && previous.revision >= change.revision) return false;
+    if (previous) this.addToDigest(change.id, previous, -1);
+    const record = {
       revision: change.revision,
       upstream: change.upstream,
-      last: change.upstream ?? before?.last,
-      knownAt: now,
+      last: change.upstream ?? previous?.last,
+      learnedAt: now,
     };
-    this.known.set(change.id, known);
-    this.addToDigest(change.id, known, 1);
+    this.records.set(change.id, record);
+    this.addToDigest(change.id, record, 1);
     this.highestRevision = Math.max(this.highestRevision, change.revision);
-    // That one which was never known is gone is kept, so that no older word brings it up, but it is no news.
-    return before?.upstream !== undefined || change.upstream !== undefined;
+    // The removal of an unknown upstream is recorded, so that no older change can add it, but it is not reported.
+    return previous?.upstream !== undefined || change.upstream !== undefined;
   }
 
-  private forgetGone(now: number): void {
-    for (const [id, known] of this.known) {
-      if (known.upstream !== undefined) continue;
-      if (now - known.knownAt > GONE_REMEMBERED_MS) this.known.delete(id);
+  private removeExpiredTombstones(now: number): void {
+    for (const [id, record] of this.records) {
+      if (record.upstream !== undefined) continue;
+      if (now - record.learnedAt > TOMBSTONE_TTL_MS) this.records.delete(id);
     }
   }
 
-  /** Adds or takes away an upstream's part of the digest; one that is gone has none. */
-  private addToDigest(id: string, known: Known, sign: 1 | -1): void {
-    if (known.upstream === undefined) return;
-    const hash = hashText(`${id}@${known.revision}`);
+  /** Adds or subtracts the contribution of an upstream to the digest; a removed upstream contributes nothing. */
+  private addToDigest(id: string, record: UpstreamRecord, sign: 1 | -1): void {
+    if (record.upstream === undefined) return;
+    const hash = hashText(`${id}@${record.revision}`);
     this.digestSum = (this.digestSum + sign * hash) >>> 0;
   }
 }
--- a/src/published/publication_feed.ts
+++ b/src/published/publication_feed.ts
@@ -1,47 +1,49 @@
 import type { PublishedConfiguration } from "./configuration_schema.ts";
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
-/** An upstream as it was published, or that it is gone. All `revision`s here are positions (`createPosition`). */
+/** An upstream that was published or changed, or the removal of one. All `revision`s here are positions
+ * (`createPosition`). */
 export type UpstreamChange =
   | { id: string; revision: number; upstream: PublishedUpstream }
   | { id: string; revision: number; upstream: undefined };
 
-/** Everything that is published at one time. */
+/** All published data at one point in time. */
 export interface PublicationSnapshot {
-  /** Revision up to which the snapshot is sure to hold every change. */
+  /** Revision up to which the snapshot is guaranteed to contain every change. */
   revision: number;
   configuration: PublishedConfiguration | undefined;
   upstreams: UpstreamChange[];
-  /** What could not be decoded and was left out, with the reason. */
+  /** Items that could not be decoded and were skipped, each with the reason. */
   problems: string[];
 }
 
-/** What was published after a revision. */
+/** Changes that were published after a revision. */
 export interface PublicationChanges {
-  /** Revision from which the next watch goes on. */
+  /** Revision from which the next watch continues. */
   revision: number;
-  /** The newest configuration among the changes, where there is one. */
+  /** The newest configuration among the changes, if any. */
   configuration: PublishedConfiguration | undefined;
   upstreams: UpstreamChange[];
-  /** What could not be decoded and was left out, with the reason. */
+  /** Items that could not be decoded and were skipped, each with the reason. */
   problems: string[];
 }
 
-/** Why a read of what is published failed. */
+/** Reason why a read from a feed failed. */
 export type FeedFailure =
-  /** Changes after the asked position are no longer kept, or the platform was restored since; a snapshot is needed. */
+  /** The changes after the requested position are no longer retained, or the platform has been restored since. A new
+   * snapshot is needed. */
   | { kind: "history_lost" }
   | { kind: "unavailable"; detail: string };
 
-/** Reads what operators and upstreams publish; an adapter implements it for one platform. */
+/** Source of the data that operators and upstreams publish. Each platform has an adapter that implements it. */
 export interface PublicationFeed {
-  /** Reads everything.
-   * @throws FeedError where the platform does not answer. */
+  /** Reads all published data.
+   * @throws FeedError if the platform does not answer. */
   readSnapshot(): Promise<PublicationSnapshot>;
-  /** Waits for changes after a revision.
-   * @param after Revision already known.
-   * @param waitMs Longest wait in milliseconds; without a change the answer is then empty.
-   * @throws FeedError where the platform does not answer or has dropped the history. */
+  /** Waits for changes after a revision (long poll).
+   * @param after Revision that is already known.
+   * @param waitMs Maximum wait in milliseconds, after which the result is empty if nothing has changed.
+   * @throws FeedError if the platform does not answer or no longer retains the history. */
   watch(after: number, waitMs: number): Promise<PublicationChanges>;
   /** Closes the connections. */
   close(): Promise<void>;
--- a/src/published/publication_keeper.ts
+++ b/src/published/publication_keeper.ts
@@ -12,55 +12,57 @@
 import { RouteTable } from "./route_table.ts";
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
-/** Age of what is known from which an outage of the platform lies behind it, in milliseconds: beyond what it reaches
- * while a host of the fleet reads the platform, and below the three missed heartbeats after which entries lapse. */
+/** Age of the known data, in milliseconds, from which an outage of the platform is assumed. It is above the age that is
+ * reached while a host of the fleet reads the platform, and below the three missed heartbeats after which entries
+ * lapse. */
 const OUTAGE_AGE_MS = 2_200;
-/** Time after an outage in which a missing entry may only have lapsed, in milliseconds: the two seconds in which lapsed
- * entries come back, and a little. */
-const LAPSE_WINDOW_MS = 2_200;
+/** Time after an outage during which a missing entry may only have lapsed, in milliseconds: lapsed entries are
+ * published again within two seconds, and a margin is added. */
+const LAPSE_GRACE_MS = 2_200;
 
-/** What the keeper needs and whom it tells. */
+/** Dependencies and listeners of the replica. */
 export interface PublicationKeeperOptions {
   logger: Logger;
-  /** Told of each newer configuration. */
+  /** Called with the routes of each newer configuration. */
   onConfiguration: (table: RouteTable) => void;
-  /** Told of each era of the platform that is new here. */
+  /** Called with each era of the platform that is new here. */
   onEra: (era: number) => void;
-  /** Told of each change of upstreams. */
+  /** Called with the changes of upstreams that were not known before. */
   onUpstreams: (changes: readonly UpstreamChange[]) => void;
 }
 
-/** What a peer tells of what it knows, all of it or what changed after a revision. */
+/** State that hosts send to each other: everything they know, or what changed after a revision. */
 export interface PublicationState {
   configuration: PublishedConfiguration | undefined;
   changes: UpstreamChange[];
-  /** Revision up to which the peer misses no change. */
+  /** Revision up to which the sender misses no change. */
   completeUpTo: number;
-  /** Age in milliseconds of what the peer knows, when it told this. */
+  /** Age of the sender's data when it was sent, in milliseconds. */
   ageMs: number;
 }
 
-/** The task that owns what is published: it merges the platform's and peers' word and tells the rest what is new. */
+/** This host's replica of the published data. It merges updates from the platform and from peers, and notifies its
+ * listeners of changes. */
 export class PublicationKeeper {
   private readonly publication = Publication.create();
   private readonly freshness = Freshness.create();
-  private table: RouteTable | undefined;
-  private regainedAt = -Infinity;
+  private routeTable: RouteTable | undefined;
+  private recoveredAt = -Infinity;
 
   private constructor(private readonly options: PublicationKeeperOptions) {}
 
-  /** Creates a keeper that knows nothing.
-   * @param options What it needs. */
+  /** Creates an empty replica.
+   * @param options Dependencies and listeners. */
   static create(options: PublicationKeeperOptions): PublicationKeeper {
     return new PublicationKeeper(options);
   }
 
-  /** The routes in force, or nothing before the first configuration. */
+  /** The routes in force; undefined before the first configuration. */
   get routes(): RouteTable | undefined {
-    return this.table;
+    return this.routeTable;
   }
 
-  /** Highest revision of any change that was merged. */
+  /** Highest revision of all merged changes. */
   get revision(): number {
     return this.publication.revision;
   }
@@ -70,22 +72,22 @@
     return this.publication.completeUpTo;
   }
 
-  /** A number that is equal on two processes that know the same. */
+  /** Digest that is equal on processes that know the same configuration version and the same upstream changes. */
   get digest(): number {
     return this.publication.digest;
   }
 
-  /** Age in milliseconds of what is known: nothing published before that is missing here. */
+  /** Age of the known data in milliseconds: everything that was published before then is known here. */
   get ageMs(): number {
     return this.freshness.getAge(readClock());
   }
 
-  /** Monotonic milliseconds up to which a missing entry may only have lapsed while the platform was away. */
+  /** Monotonic milliseconds until which a missing entry may only have lapsed while the platform was unavailable. */
   get lapseEndsAt(): number {
-    return this.regainedAt + LAPSE_WINDOW_MS;
+    return this.recoveredAt + LAPSE_GRACE_MS;
   }
 
-  /** What is known, for a peer.
+  /** Returns the known state, to be sent to a peer.
    * @param after Revision up to which the peer misses nothing; 0 for all. */
   getState(after = 0): PublicationState {
     return {
@@ -98,43 +100,47 @@
 
   /** Merges a snapshot of the platform.
    * @param snapshot The snapshot.
-   * @param askedAt Monotonic milliseconds at which it was asked for. */
-  takeSnapshot(snapshot: PublicationSnapshot, askedAt: number): void {
+   * @param requestedAt Monotonic milliseconds at which it was requested. */
+  applySnapshot(snapshot: PublicationSnapshot, requestedAt: number): void {
     const { revision, configuration, upstreams } = snapshot;
-    this.noteRegained(askedAt);
-    this.noteEra(revision, "snapshot");
+    this.detectOutageEnd(requestedAt);
+    this.detectNewEra(revision, "snapshot");
     const now = readClock();
-    this.apply(
+    this.handleMergeResult(
       this.publication.mergeSnapshot(revision, configuration, upstreams, now),
       "snapshot",
     );
-    this.publication.noteComplete(revision);
-    this.freshness.confirm(askedAt);
+    this.publication.markCompleteUpTo(revision);
+    this.freshness.confirm(requestedAt);
   }
 
-  /** Merges changes that a watch brought.
-   * @param changes The changes, all after a revision up to which none was missing.
-   * @param knownUpTo Monotonic milliseconds up to which the watch is sure to have brought every change. */
-  takeChanges(changes: PublicationChanges, knownUpTo: number): void {
+  /** Merges changes that a watch returned.
+   * @param changes All changes after a revision up to which none was missing.
+   * @param completeUntil Monotonic milliseconds up to which the watch is certain to have returned every change. */
+  applyChanges(changes: PublicationChanges, completeUntil: number): void {
     const { configuration, upstreams } = changes;
-    this.noteRegained(knownUpTo);
-    this.apply(
+    this.detectOutageEnd(completeUntil);
+    this.handleMergeResult(
       this.publication.merge(configuration, upstreams, readClock()),
       "watch",
     );
-    this.publication.noteComplete(changes.revision);
-    this.freshness.confirm(knownUpTo);
-  }
-
-  /** Merges what a peer knows.
-   * @param state What it knows, all of it or all after a revision up to which nothing is missing here.
-   * @param peerId The peer.
-   * @param askedAt Monotonic milliseconds at which it was asked. */
-  takeState(state: PublicationState, peerId: string, askedAt: number): void {
-    this.noteRegained(askedAt - state.ageMs);
-    this.noteEra(state.completeUpTo, `peer ${peerId}`);
-    this.apply(
-      this.publication.mergeState(
+    this.publication.markCompleteUpTo(changes.revision);
+    this.freshness.confirm(completeUntil);
+  }
+
+  /** Merges the state of a peer.
+   * @param state Everything the peer knows, or all changes after a revision up to which nothing is missing here.
+   * @param peerId Id of the peer.
+   * @param requestedAt Monotonic milliseconds at which the state was requested. */
+  takeState(
+    state: PublicationState,
+    peerId: string,
+    requestedAt: number,
+  ): void {
+    this.detectOutageEnd(requestedAt - state.ageMs);
+    this.detectNewEra(state.completeUpTo, `peer ${peerId}`);
+    this.handleMergeResult(
+      this.publication.mergePeerState(
         state.completeUpTo,
         state.configuration,
         state.changes,
@@ -142,40 +148,41 @@
       ),
       `peer ${peerId}`,
     );
-    this.publication.noteComplete(state.completeUpTo);
-    this.freshness.confirm(askedAt - state.ageMs);
+    this.publication.markCompleteUpTo(state.completeUpTo);
+    this.freshness.confirm(requestedAt - state.ageMs);
   }
 
-  /** Takes a peer's word that it knows the same; its age then holds here too.
-   * @param digest The peer's digest.
+  /** Adopts the age of a peer's data if the peer knows the same as this host. A different digest has no effect.
+   * @param digest Digest of the peer.
    * @param moment Monotonic milliseconds of this process up to which the peer knows everything. */
   takeConfirmation(digest: number, moment: number): void {
     if (digest !== this.digest) return;
-    this.noteRegained(moment);
+    this.detectOutageEnd(moment);
     this.freshness.confirm(moment);
   }
 
-  /** Notes the end of an outage, where what comes in is new and what was known is old.
+  /** Detects the end of an outage: the received data is recent while the known data is old.
    * @param moment Monotonic milliseconds up to which everything is known now. */
-  private noteRegained(moment: number): void {
+  private detectOutageEnd(moment: number): void {
     const { ageMs } = this;
-    const isNew = readClock() - moment < OUTAGE_AGE_MS;
-    if (!isNew || ageMs < OUTAGE_AGE_MS || !Number.isFinite(ageMs)) return;
-    this.regainedAt = readClock();
+    const isRecent = readClock() - moment < OUTAGE_AGE_MS;
+    if (!isRecent || ageMs < OUTAGE_AGE_MS || !Number.isFinite(ageMs)) return;
+    this.recoveredAt = readClock();
     this.options.logger.info(
       { ageMs: Math.round(ageMs) },
       "publication_regained",
     );
   }
 
-  /** Notes a restore of the platform: entries that are missing may only wait to be written again. */
-  private noteEra(position: number, source: string): void {
+  /** Detects a new era, that is, a restore of the platform. Missing entries may then only be waiting to be published
+   * again. */
+  private detectNewEra(position: number, source: string): void {
     const { era, completeUpTo } = this.publication;
     const newEra = getEra(position);
     if (newEra <= era) return;
     this.options.onEra(newEra);
     if (completeUpTo === 0) return;
-    this.regainedAt = readClock();
+    this.recoveredAt = readClock();
     this.options.logger.warn({
       era: newEra,
       revision: getRevision(position),
@@ -185,11 +192,11 @@
     }, "publication_restored");
   }
 
-  private apply(result: MergeResult, source: string): void {
-    if (result.isConfigurationNew) this.applyConfiguration(source);
+  private handleMergeResult(result: MergeResult, source: string): void {
+    if (result.hasNewConfiguration) this.applyConfiguration(source);
     if (result.changes.length === 0) return;
     for (const { id, revision, upstream } of result.changes) {
-      const state = nameState(upstream);
+      const state = getStateForLog(upstream);
       const address = upstream?.address ?? "";
       const service = upstream?.service ?? "";
       this.options.logger.info(
@@ -209,19 +216,19 @@
   }
 
   private applyConfiguration(source: string): void {
-    const before = this.table?.version;
-    this.table = RouteTable.create(this.publication.configuration!);
-    const { version } = this.table;
+    const before = this.routeTable?.version;
+    this.routeTable = RouteTable.create(this.publication.configuration!);
+    const { version } = this.routeTable;
     this.options.logger.info(
       { version, before, source },
       "configuration_in_force",
     );
-    this.options.onConfiguration(this.table);
+    this.options.onConfiguration(this.routeTable);
   }
 }
 
-/** What the log calls the state of an upstream as it is published. */
-function nameState(
+/** Returns the state of a published upstream for the log. */
+function getStateForLog(
   upstream: PublishedUpstream | undefined,
 ): "gone" | "leaving" | "live" {
   if (!upstream) return "gone";
--- a/src/published/restored_upstream.ts
+++ b/src/published/restored_upstream.ts
@@ -1,40 +1,42 @@
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
-/** What is known of an upstream before the platform is restored. */
-export interface KnownBeforeRestore {
-  /** The upstream as last published, also where it is gone since. */
+/** What this process knows about an upstream from before a restore of the platform. */
+export interface UpstreamBeforeRestore {
+  /** The upstream as last published, even if it has been removed since. */
   last: PublishedUpstream;
-  isGone: boolean;
+  isRemoved: boolean;
 }
 
-/** Corrects the entry of an upstream in an older copy by what was published after the copy was made.
- * @param before What is known.
- * @param copy The entry in the copy.
- * @returns The copy itself where nothing contradicts it; nothing where the start in the copy is over. */
-export function correctRestored(
-  before: KnownBeforeRestore,
-  copy: PublishedUpstream,
+/** Corrects the restored entry of an upstream by what was published after the backup was taken.
+ * @param before What is known from before the restore.
+ * @param restored The entry in the restored platform.
+ * @returns The restored entry itself if nothing contradicts it; undefined if it belongs to an ended instance and the
+ * newer one has been removed as well. */
+export function correctRestoredUpstream(
+  before: UpstreamBeforeRestore,
+  restored: PublishedUpstream,
 ): PublishedUpstream | undefined {
-  const { last, isGone } = before;
-  if (isLaterStart(last, copy)) return isGone ? undefined : last;
-  const isOver = isGone || last.isLeaving;
-  return isOver && isSameStart(last, copy) && !copy.isLeaving
-    ? { ...copy, isLeaving: true }
-    : copy;
+  const { last, isRemoved } = before;
+  if (isNewerInstance(last, restored)) return isRemoved ? undefined : last;
+  const hasEnded = isRemoved || last.isLeaving;
+  return hasEnded && isSameInstance(last, restored) && !restored.isLeaving
+    ? { ...restored, isLeaving: true }
+    : restored;
 }
 
-function isLaterStart(
+function isNewerInstance(
   last: PublishedUpstream,
-  copy: PublishedUpstream,
+  restored: PublishedUpstream,
 ): boolean {
-  return last.startedAt !== undefined && copy.startedAt !== undefined &&
-    last.startedAt > copy.startedAt;
+  return last.startedAt !== undefined && restored.startedAt !== undefined &&
+    last.startedAt > restored.startedAt;
 }
 
-function isSameStart(
+function isSameInstance(
   last: PublishedUpstream,
-  copy: PublishedUpstream,
+  restored: PublishedUpstream,
 ): boolean {
-  return last.address === copy.address && last.service === copy.service &&
-    last.startedAt === copy.startedAt;
+  return last.address === restored.address &&
+    last.service === restored.service &&
+    last.startedAt === restored.startedAt;
 }
--- a/src/published/route_table.ts
+++ b/src/published/route_table.ts
@@ -6,18 +6,18 @@
   Service,
 } from "./configuration_schema.ts";
 
-/** A customer as a request's key names it. */
+/** The customer that owns an API key. */
 export interface KeyHolder {
   name: string;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number;
 }
 
-/** One version of the configuration, indexed for looking up routes and keys. */
+/** One version of the configuration, indexed for lookups of routes and API keys. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly routesByName = new Map<string, Route>();
-  private readonly holders = new Map<string, KeyHolder>();
+  private readonly customersByKey = new Map<string, KeyHolder>();
   private readonly services = new Map<string, Service>();
 
   private constructor(private readonly configuration: PublishedConfiguration) {
@@ -35,64 +35,59 @@
       this.services.set(service.name, service);
     }
     for (const { name, keys, priority } of configuration.customers ?? []) {
-      for (const key of keys) this.holders.set(key, { name, priority });
+      for (const key of keys) this.customersByKey.set(key, { name, priority });
     }
   }
 
-  /** Creates the index of a configuration.
-   * @param configuration The configuration. */
+  /** Creates the route table of a configuration. */
   static create(configuration: PublishedConfiguration): RouteTable {
     return new RouteTable(configuration);
   }
 
-  /** Version of the configuration. */
   get version(): number {
     return this.configuration.version;
   }
 
-  /** Limits for callers. */
+  /** Size limits and timeouts of callers' requests. */
   get limits(): CallerLimits {
     return this.configuration.limits;
   }
 
-  /** Whether routes that are not anonymous need a key. */
+  /** Whether routes that are not anonymous require an API key. */
   get needsKeys(): boolean {
     return this.configuration.customers !== undefined;
   }
 
-  /** Returns the route with the longest prefix of a path, or nothing.
-   * @param host Host that the request names, with or without a port.
+  /** Returns the route of a host with the longest prefix that matches a path, or undefined.
+   * @param host Value of the request's Host header, with or without a port.
    * @param path Path of the request, with or without a query. */
   getRoute(host: string, path: string): Route | undefined {
-    const name = host.toLowerCase().replace(/:\d+$/, "");
-    const bare = path.split("?", 1)[0]!;
-    return this.routesByHost.get(name)?.find((route) =>
-      bare.startsWith(route.pathPrefix)
+    const hostname = host.toLowerCase().replace(/:\d+$/, "");
+    const pathWithoutQuery = path.split("?", 1)[0]!;
+    return this.routesByHost.get(hostname)?.find((route) =>
+      pathWithoutQuery.startsWith(route.pathPrefix)
     );
   }
 
-  /** Returns a route by its name, or nothing.
-   * @param name Name of the route. */
+  /** Returns the route with the given name, or undefined. */
   getRouteByName(name: string): Route | undefined {
     return this.routesByName.get(name);
   }
 
-  /** Returns a service, or nothing.
-   * @param name Name of the service. */
+  /** Returns the service with the given name, or undefined. */
   getService(name: string): Service | undefined {
     return this.services.get(name);
   }
 
-  /** Returns the customer that holds a key, or nothing.
-   * @param key The key. */
+  /** Returns the customer that owns an API key, or undefined. */
   getHolder(key: string): KeyHolder | undefined {
-    return this.holders.get(key);
+    return this.customersByKey.get(key);
   }
 }
 
-/** Chooses the service of a request by the weights of its route; the same key gets the same service.
+/** Chooses the service of a request by the weights of its route. The same key always maps to the same service.
  * @param route The route.
- * @param key What the choice hangs on: a chat's key where there is one, else the request's id. */
+ * @param key Key that the requests of a chat share, if there is one; otherwise the request's id. */
 export function chooseService(route: Route, key: string): string {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
   const first = route.shares[0]!.service;
--- a/src/published/upstream_schema.ts
+++ b/src/published/upstream_schema.ts
@@ -1,22 +1,22 @@
 import { z } from "zod";
 
-/** What an upstream publishes of itself. */
+/** Schema of the entry that an upstream publishes about itself. */
 export const upstreamSchema = z.object({
-  /** Id under which it may start again. */
+  /** Id that the upstream keeps across restarts. */
   id: z.string(),
   service: z.string(),
-  /** IP number and port, as `ip:port`. */
+  /** IP address and port, as `ip:port`. */
   address: z.string(),
   hall: z.string(),
-  /** Requests it works on at once. */
+  /** Number of requests that it processes concurrently. */
   slots: z.number().int().positive(),
-  /** Grows with each upstream that comes; of two, the one with the smaller number came first. */
+  /** Orders upstreams by arrival: the one with the smaller number was published first. */
   arrival: z.number(),
-  /** Whether it has said that it will leave. */
+  /** Whether it has announced that it is leaving. */
   isLeaving: z.boolean(),
-  /** Unix milliseconds of its start, which tells two starts under one id apart; undefined where none are told. */
+  /** Start time in Unix milliseconds, which distinguishes instances with the same id; undefined if not published. */
   startedAt: z.number().int().optional(),
 });
 
-/** One published upstream. */
+/** A published upstream. */
 export type PublishedUpstream = z.infer<typeof upstreamSchema>;
--- a/tests/published/build_published.ts
+++ b/tests/published/build_published.ts
@@ -5,7 +5,7 @@
 import type { PublishedUpstream } from "../../src/published/upstream_schema.ts";
 
 /** Builds a route.
- * @param changes What differs from a repeatable route of service `s` under `/a/`. */
+ * @param changes Fields that differ from a repeatable route of service `s` with the prefix `/a/`. */
 export function buildRoute(changes: Partial<Route> = {}): Route {
   return {
     name: "r",
@@ -24,7 +24,7 @@
 }
 
 /** Builds a configuration.
- * @param changes What differs from one with a single route. */
+ * @param changes Fields that differ from a configuration with a single route. */
 export function buildConfiguration(
   changes: Partial<PublishedConfiguration> = {},
 ): PublishedConfiguration {
@@ -45,7 +45,7 @@
 }
 
 /** Builds an upstream.
- * @param changes What differs from a live one of service `s`. */
+ * @param changes Fields that differ from a live upstream of service `s`. */
 export function buildUpstream(
   changes: Partial<PublishedUpstream> = {},
 ): PublishedUpstream {
--- a/tests/published/publication_keeper_test.ts
+++ b/tests/published/publication_keeper_test.ts
@@ -3,10 +3,10 @@
 import { PublicationKeeper } from "../../src/published/publication_keeper.ts";
 import { buildConfiguration } from "./build_published.ts";
 
-/** Longer than any outage that matters, in milliseconds. */
+/** Age in milliseconds that is longer than any relevant outage. */
 const LONG_AGO_MS = 60_000;
 
-function createKeeper(): PublicationKeeper {
+function createReplica(): PublicationKeeper {
   return PublicationKeeper.create({
     logger: pino({ level: "silent" }),
     onConfiguration: () => undefined,
@@ -15,39 +15,39 @@
   });
 }
 
-function takeSnapshot(keeper: PublicationKeeper, askedAt: number): void {
+function applySnapshot(replica: PublicationKeeper, askedAt: number): void {
   const snapshot = {
     revision: 1,
     configuration: buildConfiguration(),
     upstreams: [],
     problems: [],
   };
-  keeper.takeSnapshot(snapshot, askedAt);
+  replica.applySnapshot(snapshot, askedAt);
 }
 
-test("the age of what is known counts from when it was asked for, and never grows by an older word", (t) => {
-  const keeper = createKeeper();
-  t.is(keeper.ageMs, Infinity);
+test("the age counts from the time of the request, and an older confirmation does not increase it", (t) => {
+  const replica = createReplica();
+  t.is(replica.ageMs, Infinity);
   const now = performance.now();
-  takeSnapshot(keeper, now);
-  const digest = keeper.digest;
-  keeper.takeConfirmation(digest, now - LONG_AGO_MS);
-  t.true(keeper.ageMs < LONG_AGO_MS);
+  applySnapshot(replica, now);
+  const digest = replica.digest;
+  replica.takeConfirmation(digest, now - LONG_AGO_MS);
+  t.true(replica.ageMs < LONG_AGO_MS);
 });
 
-test("a peer's word counts only where it knows the same", (t) => {
-  const keeper = createKeeper();
-  takeSnapshot(keeper, performance.now() - LONG_AGO_MS);
-  keeper.takeConfirmation(keeper.digest + 1, performance.now());
-  t.true(keeper.ageMs >= LONG_AGO_MS);
-  keeper.takeConfirmation(keeper.digest, performance.now());
-  t.true(keeper.ageMs < LONG_AGO_MS);
+test("a peer's confirmation counts only if its digest is the same", (t) => {
+  const replica = createReplica();
+  applySnapshot(replica, performance.now() - LONG_AGO_MS);
+  replica.takeConfirmation(replica.digest + 1, performance.now());
+  t.true(replica.ageMs >= LONG_AGO_MS);
+  replica.takeConfirmation(replica.digest, performance.now());
+  t.true(replica.ageMs < LONG_AGO_MS);
 });
 
-test("after an outage entries may have lapsed, also where a peer tells of its end, and not after a first start", (t) => {
-  const keeper = createKeeper();
-  takeSnapshot(keeper, performance.now() - LONG_AGO_MS);
-  t.true(keeper.lapseEndsAt < performance.now());
-  keeper.takeConfirmation(keeper.digest, performance.now());
-  t.true(keeper.lapseEndsAt > performance.now());
+test("after an outage whose end a peer reports, missing entries may only have lapsed, but not after the first start", (t) => {
+  const replica = createReplica();
+  applySnapshot(replica, performance.now() - LONG_AGO_MS);
+  t.true(replica.lapseEndsAt < performance.now());
+  replica.takeConfirmation(replica.digest, performance.now());
+  t.true(replica.lapseEndsAt > performance.now());
 });
--- a/tests/published/publication_test.ts
+++ b/tests/published/publication_test.ts
@@ -4,8 +4,8 @@
 import type { UpstreamChange } from "../../src/published/publication_feed.ts";
 import { buildConfiguration, buildUpstream } from "./build_published.ts";
 
-/** Changes as the platform makes them: each revision belongs to one upstream. */
-const history = fc.array(
+/** Changes as the platform publishes them: each revision belongs to a single upstream. */
+const historyArbitrary = fc.array(
   fc.record({ id: fc.constantFrom("a", "b", "c"), isGone: fc.boolean() }),
   { minLength: 1, maxLength: 20 },
 ).map((entries): UpstreamChange[] =>
@@ -21,35 +21,35 @@
     .map((change) => `${change.id}@${change.revision}`).sort();
 }
 
-test("changes merged in any order, any of them twice, give the same list", (t) => {
-  const keeps = fc.property(
-    history,
+test("merging changes in any order and more than once gives the same list", (t) => {
+  const property = fc.property(
+    historyArbitrary,
     fc.infiniteStream(fc.nat(1_000)),
     (changes, ranks) => {
       const first = Publication.create();
       first.merge(undefined, changes, 0);
-      const keyed = [...changes, ...changes].map((change) => ({
+      const ranked = [...changes, ...changes].map((change) => ({
         change,
         rank: ranks.next().value as number,
       }));
-      const shuffled = keyed.sort((a, b) => a.rank - b.rank);
+      const shuffled = ranked.sort((a, b) => a.rank - b.rank);
       const second = Publication.create();
       for (const { change } of shuffled) second.merge(undefined, [change], 0);
       return listLive(first).join() === listLive(second).join();
     },
   );
-  t.notThrows(() => fc.assert(keeps, { seed: 11, numRuns: 500 }));
+  t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 500 }));
 });
 
 test("an older configuration never replaces a newer one", (t) => {
   const publication = Publication.create();
   publication.merge(buildConfiguration({ version: 7 }), [], 0);
   const result = publication.merge(buildConfiguration({ version: 4 }), [], 0);
-  t.false(result.isConfigurationNew);
+  t.false(result.hasNewConfiguration);
   t.is(publication.configuration?.version, 7);
 });
 
-test("what a snapshot lacks is gone, unless it changed after the snapshot", (t) => {
+test("an upstream that a snapshot does not list is removed, unless it changed after the snapshot", (t) => {
   const publication = Publication.create();
   publication.merge(undefined, [
     { id: "old", revision: 1, upstream: buildUpstream({ id: "old" }) },
@@ -59,7 +59,7 @@
   t.deepEqual(listLive(publication), ["new@9"]);
 });
 
-test("a peer that has not heard of an upstream's end does not bring it back", (t) => {
+test("a peer that does not know of an upstream's removal does not re-add it", (t) => {
   const publication = Publication.create();
   const live = { id: "a", revision: 1, upstream: buildUpstream({ id: "a" }) };
   publication.merge(undefined, [live], 0);
@@ -70,7 +70,7 @@
   t.deepEqual(listLive(publication), []);
 });
 
-test("two that know the same have the same digest, and another after a change", (t) => {
+test("publications with the same content have the same digest, and a change alters it", (t) => {
   const [one, other] = [Publication.create(), Publication.create()];
   const change = { id: "a", revision: 1, upstream: buildUpstream({ id: "a" }) };
   for (const publication of [one, other]) {
@@ -81,18 +81,22 @@
   t.not(one.digest, other.digest);
 });
 
-test("a host that is told what changed after the revision up to which it misses nothing knows as much as its peer", (t) => {
-  const keeps = fc.property(history, fc.nat(20), (changes, known) => {
-    const peer = Publication.create();
-    peer.merge(undefined, changes, 0);
-    peer.noteComplete(changes.length);
-    const host = Publication.create();
-    host.merge(undefined, changes.slice(0, known), 0);
-    host.noteComplete(Math.min(known, changes.length));
-    host.merge(undefined, peer.getChanges(host.completeUpTo), 0);
-    host.noteComplete(peer.completeUpTo);
-    return listLive(host).join() === listLive(peer).join() &&
-      host.digest === peer.digest && host.completeUpTo === peer.completeUpTo;
-  });
-  t.notThrows(() => fc.assert(keeps, { seed: 12, numRuns: 500 }));
+test("the changes after the revision up to which a host misses nothing bring it to its peer's state", (t) => {
+  const property = fc.property(
+    historyArbitrary,
+    fc.nat(20),
+    (changes, known) => {
+      const peer = Publication.create();
+      peer.merge(undefined, changes, 0);
+      peer.markCompleteUpTo(changes.length);
+      const host = Publication.create();
+      host.merge(undefined, changes.slice(0, known), 0);
+      host.markCompleteUpTo(Math.min(known, changes.length));
+      host.merge(undefined, peer.getChanges(host.completeUpTo), 0);
+      host.markCompleteUpTo(peer.completeUpTo);
+      return listLive(host).join() === listLive(peer).join() &&
+        host.digest === peer.digest && host.completeUpTo === peer.completeUpTo;
+    },
+  );
+  t.notThrows(() => fc.assert(property, { seed: 12, numRuns: 500 }));
 });
--- a/tests/published/restored_publication_test.ts
+++ b/tests/published/restored_publication_test.ts
@@ -5,7 +5,7 @@
 import type { PublishedUpstream } from "../../src/published/upstream_schema.ts";
 import { buildUpstream } from "./build_published.ts";
 
-function list(
+function buildChange(
   era: number,
   revision: number,
   changes: Partial<PublishedUpstream> = {},
@@ -14,14 +14,14 @@
   return { id: upstream.id, revision: createPosition(era, revision), upstream };
 }
 
-/** A publication that has read a snapshot of era 1 at revision 20. */
-function createKnown(...changes: UpstreamChange[]): Publication {
+/** Creates a publication that has merged a snapshot of era 1 at revision 20. */
+function createPublication(...changes: UpstreamChange[]): Publication {
   const publication = Publication.create();
-  takeSnapshot(publication, 1, 20, ...changes);
+  mergeSnapshot(publication, 1, 20, ...changes);
   return publication;
 }
 
-function takeSnapshot(
+function mergeSnapshot(
   publication: Publication,
   era: number,
   revision: number,
@@ -29,72 +29,85 @@
 ): void {
   const position = createPosition(era, revision);
   publication.mergeSnapshot(position, undefined, changes, 0);
-  publication.noteComplete(position);
+  publication.markCompleteUpTo(position);
 }
 
-function describe(publication: Publication): string[] {
+function listStates(publication: Publication): string[] {
   return publication.getChanges().filter(({ upstream }) => upstream).map((
     { id, upstream },
   ) => `${id} ${upstream!.isLeaving ? "leaving" : "live"}`).sort();
 }
 
-test("what was published after a return counts although its revision is lower", (t) => {
-  const publication = createKnown(list(1, 15));
-  takeSnapshot(publication, 2, 9, list(2, 5));
-  publication.merge(undefined, [list(2, 10, { isLeaving: true })], 0);
-  t.deepEqual(describe(publication), ["u leaving"]);
+test("a change that was published after a restore counts although its revision is lower", (t) => {
+  const publication = createPublication(buildChange(1, 15));
+  mergeSnapshot(publication, 2, 9, buildChange(2, 5));
+  publication.merge(undefined, [buildChange(2, 10, { isLeaving: true })], 0);
+  t.deepEqual(listStates(publication), ["u leaving"]);
 });
 
-test("a start that leaves goes on leaving, until it is written otherwise", (t) => {
-  const publication = createKnown(list(1, 15, { isLeaving: true }));
-  takeSnapshot(publication, 2, 9, list(2, 5));
-  t.deepEqual(describe(publication), ["u leaving"]);
-  publication.merge(undefined, [list(2, 10)], 0);
-  t.deepEqual(describe(publication), ["u live"]);
+test("a leaving instance stays leaving after a restore until it is published otherwise", (t) => {
+  const publication = createPublication(
+    buildChange(1, 15, { isLeaving: true }),
+  );
+  mergeSnapshot(publication, 2, 9, buildChange(2, 5));
+  t.deepEqual(listStates(publication), ["u leaving"]);
+  publication.merge(undefined, [buildChange(2, 10)], 0);
+  t.deepEqual(listStates(publication), ["u live"]);
 });
 
-test("a later start of the same upstream is another one", (t) => {
-  const publication = createKnown(
-    list(1, 15, { isLeaving: true, startedAt: 100 }),
+test("a later instance of a leaving upstream is not leaving", (t) => {
+  const publication = createPublication(
+    buildChange(1, 15, { isLeaving: true, startedAt: 100 }),
   );
-  takeSnapshot(publication, 2, 9, list(2, 5, { startedAt: 200 }));
-  t.deepEqual(describe(publication), ["u live"]);
+  mergeSnapshot(publication, 2, 9, buildChange(2, 5, { startedAt: 200 }));
+  t.deepEqual(listStates(publication), ["u live"]);
 });
 
-test("a start that is over does not come back", (t) => {
-  const publication = createKnown(list(1, 15, { startedAt: 200 }));
-  takeSnapshot(publication, 2, 9, list(2, 5, { startedAt: 100 }));
+test("a restore does not bring back an ended instance", (t) => {
+  const publication = createPublication(buildChange(1, 15, { startedAt: 200 }));
+  mergeSnapshot(publication, 2, 9, buildChange(2, 5, { startedAt: 100 }));
   const [change] = publication.getChanges();
   t.is(change?.upstream?.startedAt, 200);
 });
 
-test("a host that knows only the copy learns what contradicts it", (t) => {
-  const knowing = createKnown(list(1, 15, { isLeaving: true }));
-  const fresh = Publication.create();
-  for (const one of [knowing, fresh]) takeSnapshot(one, 2, 9, list(2, 5));
-  t.not(knowing.digest, fresh.digest);
-  fresh.mergeState(knowing.completeUpTo, undefined, knowing.getChanges(), 0);
-  t.is(knowing.digest, fresh.digest);
-  t.deepEqual(describe(fresh), ["u leaving"]);
+test("a host that knows only the restored data learns the corrections from a peer", (t) => {
+  const peer = createPublication(buildChange(1, 15, { isLeaving: true }));
+  const host = Publication.create();
+  for (const one of [peer, host]) mergeSnapshot(one, 2, 9, buildChange(2, 5));
+  t.not(peer.digest, host.digest);
+  host.mergePeerState(
+    peer.completeUpTo,
+    undefined,
+    peer.getChanges(),
+    0,
+  );
+  t.is(peer.digest, host.digest);
+  t.deepEqual(listStates(host), ["u leaving"]);
 });
 
-test("a host that hears of a return from a peer drops what the peer doesn't list", (t) => {
-  const publication = createKnown(list(1, 15), list(1, 16, { id: "v" }));
+test("a host that learns of a restore from a peer removes the upstreams that the peer does not list", (t) => {
+  const publication = createPublication(
+    buildChange(1, 15),
+    buildChange(1, 16, { id: "v" }),
+  );
   const position = createPosition(2, 9);
-  publication.mergeState(position, undefined, [list(2, 5)], 0);
-  publication.noteComplete(position);
-  t.deepEqual(describe(publication), ["u live"]);
+  publication.mergePeerState(position, undefined, [buildChange(2, 5)], 0);
+  publication.markCompleteUpTo(position);
+  t.deepEqual(listStates(publication), ["u live"]);
 });
 
-test("a host of the era before does not bring back what is over", (t) => {
-  const publication = createKnown(list(1, 15));
-  takeSnapshot(publication, 2, 9, list(2, 5));
-  const before = createKnown(list(1, 15), list(1, 19, { id: "v" }));
-  publication.mergeState(
-    before.completeUpTo,
+test("a host of the previous era does not bring back removed upstreams", (t) => {
+  const publication = createPublication(buildChange(1, 15));
+  mergeSnapshot(publication, 2, 9, buildChange(2, 5));
+  const outdated = createPublication(
+    buildChange(1, 15),
+    buildChange(1, 19, { id: "v" }),
+  );
+  publication.mergePeerState(
+    outdated.completeUpTo,
     undefined,
-    before.getChanges(),
+    outdated.getChanges(),
     0,
   );
-  t.deepEqual(describe(publication), ["u live"]);
+  t.deepEqual(listStates(publication), ["u live"]);
 });
--- a/tests/published/route_table_test.ts
+++ b/tests/published/route_table_test.ts
@@ -2,7 +2,7 @@
 import { chooseService, RouteTable } from "../../src/published/route_table.ts";
 import { buildConfiguration, buildRoute } from "./build_published.ts";
 
-test("the longest prefix of the host's routes decides", (t) => {
+test("the route of the host with the longest matching prefix is chosen", (t) => {
   const table = RouteTable.create(buildConfiguration({
     routes: [
       buildRoute({ name: "short", pathPrefix: "/a/" }),
@@ -16,7 +16,7 @@
   t.is(table.getRoute("c.example", "/a/"), undefined);
 });
 
-test("the same key always gets the same service, and weights are kept to", (t) => {
+test("the same key always gets the same service, and services are chosen in proportion to their weights", (t) => {
   const shares = [{ service: "x", weight: 90 }, { service: "y", weight: 10 }];
   const route = buildRoute({ shares });
   const chosen = Array.from(
