--- a/tests/platform/decode_configuration_test.ts
+++ b/tests/platform/decode_configuration_test.ts
@@ -20,8 +20,8 @@
   tenants: [{ name: "c", api_keys: ["k"] }],
 };
 
-/** Documents that another writer may have left: any value, or one with any field of any depth spoiled. */
-const spoiled = fc.oneof(
+/** Documents that another writer may have stored: any JSON value, or a document with any one field replaced. */
+const arbitraryDocument = fc.oneof(
   fc.jsonValue({ maxDepth: 6 }),
   fc.tuple(
     fc.constantFrom("version", "routes", "services", "limits", "tenants"),
@@ -37,8 +37,8 @@
   fc.constant(JSON.parse('{"__proto__": {"version": 1}, "routes": []}')),
 );
 
-test("a document is refused with the fields that are wrong, or makes a table of routes", (t) => {
-  const property = fc.property(spoiled, (value) => {
+test("an arbitrary document is rejected with a ZodError or yields a route table", (t) => {
+  const property = fc.property(arbitraryDocument, (value) => {
     try {
       RouteTable.create(decodeConfiguration(value));
       return true;
@@ -50,6 +50,6 @@
   t.pass();
 });
 
-test("a whole document is taken", (t) => {
+test("a complete document is accepted", (t) => {
   t.is(decodeConfiguration(DOCUMENT).routes.length, 1);
 });
--- a/tests/platform/decode_upstreams_test.ts
+++ b/tests/platform/decode_upstreams_test.ts
@@ -27,33 +27,36 @@
   return { changes, problems };
 }
 
-/** Entries that another writer may have left, by what is wrong with them. */
-const UNSOUND: Record<string, unknown> = {
-  "bytes that are no JSON": "\u0000\u0001",
-  "no object": [1, 2],
-  "nothing": null,
+/** Entries that another writer may have stored, by their defect. */
+const INVALID_ENTRIES: Record<string, unknown> = {
+  "bytes that are not JSON": "\u0000\u0001",
+  "not an object": [1, 2],
+  "null": null,
   "an unknown state": { ...ENTRY, state: "resting" },
   "a state of another type": { ...ENTRY, state: 1 },
   "no address": { ...ENTRY, address: undefined },
-  "an address by name": { ...ENTRY, address: "worker:80" },
+  "an address with a host name": { ...ENTRY, address: "worker:80" },
   "an address out of range": { ...ENTRY, address: "10.1.64.500:80" },
   "a port out of range": { ...ENTRY, address: "10.1.64.5:80000" },
   "no service": { ...ENTRY, service: undefined },
   "no slots": { ...ENTRY, slots: undefined },
-  "no places": { ...ENTRY, slots: 0 },
-  "places as text": { ...ENTRY, slots: "8" },
+  "zero slots": { ...ENTRY, slots: 0 },
+  "slots as text": { ...ENTRY, slots: "8" },
   "no zone": { ...ENTRY, zone: undefined },
   "no sequence": { ...ENTRY, sequence: undefined },
   "a sequence as text": { ...ENTRY, sequence: "1" },
-  "no time to warm up": { ...ENTRY, cold_left_ms: undefined },
+  "no warm-up time": { ...ENTRY, cold_left_ms: undefined },
   "no version": { ...ENTRY, version: undefined },
-  "a start that is no whole number": { ...ENTRY, born: 1.5 },
-  "a start as text": { ...ENTRY, born: "1764000000000" },
-  "no start, where others tell theirs": { ...ENTRY, born: undefined },
+  "a start time that is not an integer": { ...ENTRY, born: 1.5 },
+  "a start time as text": { ...ENTRY, born: "1764000000000" },
+  "no start time, although other entries have one": {
+    ...ENTRY,
+    born: undefined,
+  },
 };
 
-for (const [what, value] of Object.entries(UNSOUND)) {
-  test(`an entry names no upstream, and the others stay: ${what}`, (t) => {
+for (const [defect, value] of Object.entries(INVALID_ENTRIES)) {
+  test(`an invalid entry is not an upstream and does not affect the others: ${defect}`, (t) => {
     const items = [buildItem("bad", value, 7), buildItem("sound", ENTRY)];
     const { changes, problems } = decode(items);
     t.deepEqual(changes[0], { id: "bad", revision: 7, upstream: undefined });
@@ -62,7 +65,7 @@
   });
 }
 
-test("a start that no entry tells is not missed", (t) => {
+test("a start time is not required as long as no entry has one", (t) => {
   const { born: _, ...without } = ENTRY;
   const { changes, problems } = decode([buildItem("u", without)]);
   t.truthy(changes[0]?.upstream);
@@ -70,7 +73,7 @@
   t.deepEqual(problems, []);
 });
 
-test("an item that is none costs no other", (t) => {
+test("a malformed item does not affect the others", (t) => {
   const shapes = [null, 5, "text", [], {}, { private_key: 4 }, {
     private_key: "servers/x",
     revision: "7",
@@ -80,8 +83,8 @@
   t.is(problems.length, shapes.length);
 });
 
-test("whatever other writers leave, nothing is thrown, no upstream comes of it and all sound ones stay", (t) => {
-  const spoiled = fc.oneof(
+test("arbitrary items throw no error, yield no upstream and leave the valid ones intact", (t) => {
+  const invalidItem = fc.oneof(
     fc.anything({ maxDepth: 6 }),
     fc.record({
       private_key: fc.constantFrom("servers/a", "servers/__proto__", "x"),
@@ -93,21 +96,29 @@
       fc.anything({ maxDepth: 2 }),
     ).map(([field, value]) =>
       buildItem("__proto__", { ...ENTRY, [field]: value ?? undefined })
-    ).filter((item) => !isSound(item.value)),
+    ).filter((item) => !isValidEntry(item.value)),
+  );
+  const property = fc.property(
+    fc.array(invalidItem, { maxLength: 8 }),
+    (invalidItems) => {
+      const validItems = [buildItem("one", ENTRY), buildItem("two", ENTRY)];
+      const [first, ...rest] = invalidItems;
+      const { changes } = decode([
+        first,
+        validItems[0],
+        ...rest,
+        validItems[1],
+      ]);
+      const live = changes.filter(({ upstream }) => upstream !== undefined);
+      return live.map(({ id }) => id).join() === "one,two";
+    },
   );
-  const property = fc.property(fc.array(spoiled, { maxLength: 8 }), (bad) => {
-    const sound = [buildItem("one", ENTRY), buildItem("two", ENTRY)];
-    const [first, ...rest] = bad;
-    const { changes } = decode([first, sound[0], ...rest, sound[1]]);
-    const named = changes.filter(({ upstream }) => upstream !== undefined);
-    return named.map(({ id }) => id).join() === "one,two";
-  });
   fc.assert(property, { seed: 19, numRuns: 2_000 });
   t.pass();
 });
 
-/** Whether a value drawn at random is a whole entry by chance. */
-function isSound(value: string): boolean {
+/** Whether a randomly generated value happens to be a valid entry. */
+function isValidEntry(value: string): boolean {
   const entry = JSON.parse(Buffer.from(value, "base64").toString());
   const { born, sequence, cold_left_ms, slots, version, zone, service } = entry;
   return Number.isInteger(born) && Number.isInteger(sequence) &&
--- a/tests/platform/header_codec_test.ts
+++ b/tests/platform/header_codec_test.ts
@@ -20,7 +20,7 @@
   "kept",
 ];
 
-const OWN = {
+const UPSTREAM_HEADERS = {
   upstreamId: "u-1",
   remainingMs: 700.9,
   customer: "c",
@@ -29,7 +29,7 @@
   fetchFrom: undefined,
 };
 
-/** Headers as lower-case names and values. */
+/** Converts raw headers to a map from lower-case names to values. */
 function toMap(headers: readonly string[]): Map<string, string> {
   const pairs = new Map<string, string>();
   for (let index = 0; index < headers.length; index += 2) {
@@ -38,7 +38,7 @@
   return pairs;
 }
 
-test("what a caller's headers say is read", (t) => {
+test("the headers of a caller's request are read", (t) => {
   const caller = platformHeaders.readCaller(REQUEST);
   t.is(caller.requestId, "r-1");
   t.is(caller.host, "a.example");
@@ -48,19 +48,22 @@
   t.is(caller.prompt?.promptTokens, 1_460);
 });
 
-test("an upstream is not shown the key, and is told the system's own word", (t) => {
-  const sent = toMap(
-    platformHeaders.writeUpstream(platformHeaders.readCaller(REQUEST), OWN),
+test("an upstream receives the system's headers, but not the API key", (t) => {
+  const forwarded = toMap(
+    platformHeaders.writeUpstream(
+      platformHeaders.readCaller(REQUEST),
+      UPSTREAM_HEADERS,
+    ),
   );
-  t.false(sent.has("x-api-key"));
-  t.is(sent.get("x-beechkeel-tenant"), "c");
-  t.is(sent.get("x-beechkeel-expect-instance"), "u-1");
-  t.is(sent.get("x-beechkeel-deadline-ms"), "700");
-  t.is(sent.get("x-other"), "kept");
-  t.is(sent.get("x-beechkeel-model"), "m");
+  t.false(forwarded.has("x-api-key"));
+  t.is(forwarded.get("x-beechkeel-tenant"), "c");
+  t.is(forwarded.get("x-beechkeel-expect-instance"), "u-1");
+  t.is(forwarded.get("x-beechkeel-deadline-ms"), "700");
+  t.is(forwarded.get("x-other"), "kept");
+  t.is(forwarded.get("x-beechkeel-model"), "m");
 });
 
-const FORGED = [
+const INTERNAL_HEADERS = [
   "X-Beechkeel-Tenant",
   "X-Beechkeel-Expect-Instance",
   "X-Beechkeel-Expect-Version",
@@ -72,38 +75,38 @@
   "Kv-Fetch",
 ];
 
-for (const name of FORGED) {
-  test(`${name} that a caller sends is not passed on`, (t) => {
+for (const name of INTERNAL_HEADERS) {
+  test(`${name} from a caller is not forwarded`, (t) => {
     const caller = platformHeaders.readCaller([...REQUEST, name, "forged"]);
-    const sent = platformHeaders.writeUpstream(caller, {
-      ...OWN,
+    const forwarded = platformHeaders.writeUpstream(caller, {
+      ...UPSTREAM_HEADERS,
       customer: undefined,
       urgency: undefined,
     });
-    t.false(sent.includes("forged"));
+    t.false(forwarded.includes("forged"));
   });
 }
 
-test("headers of one connection are dropped, but a caller can't have the request's own dropped so", (t) => {
+test("headers that the Connection header lists are removed, except for the platform's own headers", (t) => {
   const caller = platformHeaders.readCaller([
     ...REQUEST,
     "Connection",
     "close, X-Other, X-Beechkeel-Model",
   ]);
-  const sent = toMap(caller.passedOn);
-  t.false(sent.has("connection"));
-  t.false(sent.has("x-other"));
-  t.is(sent.get("x-beechkeel-model"), "m");
+  const forwarded = toMap(caller.passedOn);
+  t.false(forwarded.has("connection"));
+  t.false(forwarded.has("x-other"));
+  t.is(forwarded.get("x-beechkeel-model"), "m");
 });
 
-test("a request with two ids or two hosts names none", (t) => {
-  const twice = [...REQUEST, "X-Beechkeel-Attempt-Id", "r-2", "Host", "b"];
-  const caller = platformHeaders.readCaller(twice);
+test("a duplicate request id or host is ignored", (t) => {
+  const duplicated = [...REQUEST, "X-Beechkeel-Attempt-Id", "r-2", "Host", "b"];
+  const caller = platformHeaders.readCaller(duplicated);
   t.is(caller.requestId, undefined);
   t.is(caller.host, undefined);
 });
 
-test("only an upstream's own word says that a request was not run", (t) => {
+test("a request counts as not run only if the upstream says so", (t) => {
   const read = (status: number, headers: Record<string, string>) =>
     platformHeaders.readAnswer(status, headers).isNotRun;
   t.true(read(503, { "x-beechkeel-not-executed": "1" }));
@@ -112,7 +115,7 @@
   t.false(read(429, {}));
 });
 
-test("an upstream's own word of its load is read, and nothing made of one that is none", (t) => {
+test("an upstream's load header is read, and a malformed one is ignored", (t) => {
   const read = (load: string) =>
     platformHeaders.readAnswer(200, { "x-beechkeel-server-load": load }).load;
   t.deepEqual(read("3,1,8"), { running: 3, waiting: 1 });
--- a/tests/platform/read_availability_test.ts
+++ b/tests/platform/read_availability_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { readAvailability } from "../../platform/read_availability.ts";
 
-test("an upstream that turns a request away names the time for which it wants none", (t) => {
+test("an upstream that rejects a request may set a backoff time", (t) => {
   const headers = { "retry-after": "1.5" };
   t.is(readAvailability(503, headers).backoffMs, 1_500);
   t.is(readAvailability(429, headers).backoffMs, 1_500);
@@ -9,7 +9,7 @@
   t.is(readAvailability(503, {}).backoffMs, undefined);
 });
 
-test("an upstream that leaves says so in any answer", (t) => {
+test("a leaving upstream announces it in any response", (t) => {
   t.true(readAvailability(200, { "server-leaving": "1" }).isLeaving);
   t.true(readAvailability(503, { "server-leaving": ["1", "1"] }).isLeaving);
   t.false(readAvailability(200, { "server-leaving": "0" }).isLeaving);
--- a/tests/platform/settings_file_test.ts
+++ b/tests/platform/settings_file_test.ts
@@ -23,7 +23,7 @@
   "a.field.of.later=something",
 ];
 
-test("the platform's settings become the gateway's own, and fields of later are skipped", (t) => {
+test("the platform's settings are converted to the gateway's settings, and unknown fields are ignored", (t) => {
   const settings = parseSettings(LINES.join("\n"));
   t.is(settings.id, "edge-1");
   t.is(settings.hall, "kariakoo");
@@ -35,14 +35,14 @@
   t.true(settings.isFirstStart);
 });
 
-test("without strict revoking keys are honoured however old the belief", (t) => {
+test("without strict revocation there is no limit on the age at which keys are accepted", (t) => {
   const lines = LINES.map((line) =>
     line.startsWith("bounds.strict") ? "bounds.strict_revoke=false" : line
   );
   t.is(parseSettings(lines.join("\n")).keyBeliefMs, undefined);
 });
 
-test("each missing or wrong field is named", (t) => {
+test("each missing or invalid field is named", (t) => {
   const lines = LINES.filter((line) => !line.startsWith("ip=")).map((line) =>
     line.startsWith("listen.front") ? "listen.front=nowhere" : line
   );
--- a/tests/platform/signals_test.ts
+++ b/tests/platform/signals_test.ts
@@ -7,7 +7,7 @@
 
 const SEED = 7;
 
-/** Starts one gateway before one engine, and a stream through it that is under way when the body runs. */
+/** Runs a test body while a stream from one engine passes through one gateway. */
 async function withStream(
   body: (fleet: SoakFleet) => Promise<void>,
 ): Promise<CallerAttempt> {
@@ -21,7 +21,7 @@
     const random = Random.create(SEED);
     const caller = SoakCaller.create("c", fleet, random, false);
     const sending = caller.sendCalmly("talk");
-    await waitUntil("the stream runs", () => fleet.runs.length === 1);
+    await waitUntil("the stream is in progress", () => fleet.runs.length === 1);
     await body(fleet);
     await sending;
     return fleet.attempts[0]!;
@@ -30,12 +30,12 @@
   }
 }
 
-test.serial("a second SIGTERM while a gateway stops cuts nothing off", async (t) => {
+test.serial("a second SIGTERM during a graceful stop does not interrupt a stream", async (t) => {
   const attempt = await withStream(async (fleet) => {
     const { program } = fleet.gateways[0]!;
     program.signal("SIGTERM");
     await waitUntil(
-      "the stop has begun",
+      "the graceful stop has started",
       () => program.log.some((line) => line.includes("stop_started")),
     );
     program.signal("SIGTERM");
@@ -44,7 +44,7 @@
   t.true(attempt.isWhole);
 });
 
-test.serial("settings that change while a gateway stops cut nothing off", async (t) => {
+test.serial("a change of the settings during a graceful stop does not interrupt a stream", async (t) => {
   const attempt = await withStream(async (fleet) => {
     const { program } = fleet.gateways[0]!;
     program.signal("SIGTERM");
--- a/tests/platform/store_client_test.ts
+++ b/tests/platform/store_client_test.ts
@@ -6,7 +6,7 @@
 import { FeedError } from "../../src/published/feed_error.ts";
 import { getEra } from "../../src/published/position.ts";
 
-const SOUND = {
+const VALID_ITEM = {
   private_key: "servers/sound",
   value: Buffer.from(JSON.stringify(buildWorkerEntry({
     service: "s",
@@ -19,11 +19,11 @@
   created: 3,
 };
 
-/** Runs a test body on a client whose store answers as the test says. */
+/** Runs a test body with a client of a store whose response the test sets. */
 async function withStore(
   body: (
     client: StoreClient,
-    answer: (value: unknown) => void,
+    respondWith: (value: unknown) => void,
   ) => Promise<void>,
 ): Promise<void> {
   let value: unknown = {};
@@ -39,8 +39,8 @@
   }
 }
 
-/** Items that are none, or whose values are none. */
-const spoiledItem = fc.oneof(
+/** Malformed items, and items with invalid values. */
+const invalidItem = fc.oneof(
   fc.jsonValue({ maxDepth: 3 }),
   fc.record({
     private_key: fc.constantFrom("servers/a", "op/config", "x"),
@@ -49,19 +49,19 @@
   }),
 );
 
-test("one bad item costs neither the page nor the watch", async (t) => {
-  await withStore(async (client, answer) => {
+test("an invalid item affects neither the rest of the page nor the watch", async (t) => {
+  await withStore(async (client, respondWith) => {
     const property = fc.asyncProperty(
-      fc.array(spoiledItem, { maxLength: 5 }),
-      async (bad) => {
-        const items = [...bad, SOUND];
-        answer({ items, has_more: false, timestamp: 9 });
+      fc.array(invalidItem, { maxLength: 5 }),
+      async (invalidItems) => {
+        const items = [...invalidItems, VALID_ITEM];
+        respondWith({ items, has_more: false, timestamp: 9 });
         const snapshot = await client.readSnapshot();
-        answer({ events: items, timestamp: 9 });
+        respondWith({ events: items, timestamp: 9 });
         const changes = await client.watch(1, 10);
         return [snapshot, changes].every(({ upstreams }) => {
-          const named = upstreams.filter((one) => one.upstream !== undefined);
-          return named.map(({ id }) => id).join() === "sound";
+          const live = upstreams.filter((one) => one.upstream !== undefined);
+          return live.map(({ id }) => id).join() === "sound";
         });
       },
     );
@@ -70,50 +70,53 @@
   t.pass();
 });
 
-test("an answer of another shape is a failed read, and nothing else", async (t) => {
-  await withStore(async (client, answer) => {
+test("a malformed response is reported as a failed read", async (t) => {
+  await withStore(async (client, respondWith) => {
     for (const value of [null, 5, [], {}, { items: 5, timestamp: 1 }]) {
-      answer(value);
+      respondWith(value);
       const error = await client.readSnapshot().catch((thrown) => thrown);
       t.true(error instanceof FeedError);
     }
   });
 });
 
-/** Runs a test body on a client whose store answers with the eras that the test says, one after the other. */
-async function withEras(
+/** Runs a test body with a client of a store whose successive responses have the given eras; the last one repeats. */
+async function withStoreEras(
   eras: (string | undefined)[],
-  body: (client: StoreClient, calls: () => number) => Promise<void>,
+  body: (client: StoreClient, getCallCount: () => number) => Promise<void>,
 ): Promise<void> {
-  let calls = 0;
+  let callCount = 0;
   const { server, port } = await listenHttp((request, response) => {
-    const era = eras[Math.min(calls, eras.length - 1)];
-    calls += 1;
+    const era = eras[Math.min(callCount, eras.length - 1)];
+    callCount += 1;
     if (era !== undefined) response.setHeader("Store-Era", era);
     const isWatch = request.url!.startsWith("/kv-watch");
     reply(response, {
-      ...isWatch ? { events: [SOUND] } : { items: [SOUND] },
+      ...isWatch ? { events: [VALID_ITEM] } : { items: [VALID_ITEM] },
       timestamp: 9,
     });
   });
   const client = StoreClient.create(`127.0.0.1:${port}`);
   try {
-    await body(client, () => calls);
+    await body(client, () => callCount);
   } finally {
     await client.close();
     await closeHttp(server);
   }
 }
 
-async function getFailure(read: Promise<unknown>): Promise<string> {
+async function getFailureKind(read: Promise<unknown>): Promise<string> {
   const error = await read.then(() => undefined, (thrown) => thrown);
   return error instanceof FeedError ? error.failure.kind : String(error);
 }
 
-test("changes of a restored store come after all that was known before", async (t) => {
-  await withEras(["1", "1", "2"], async (client) => {
+test("changes of a restored store have higher positions than all earlier ones", async (t) => {
+  await withStoreEras(["1", "1", "2"], async (client) => {
     const before = await client.readSnapshot();
-    t.is(await getFailure(client.watch(before.revision, 10)), "history_lost");
+    t.is(
+      await getFailureKind(client.watch(before.revision, 10)),
+      "history_lost",
+    );
     const after = await client.readSnapshot();
     t.true(after.revision > before.revision);
     t.true(after.upstreams[0]!.revision > before.upstreams[0]!.revision);
@@ -121,24 +124,24 @@
   });
 });
 
-test("a snapshot whose answers are of two eras is read anew", async (t) => {
-  await withEras(["1", "2"], async (client, calls) => {
+test("a snapshot whose responses belong to two eras is read again", async (t) => {
+  await withStoreEras(["1", "2"], async (client, getCallCount) => {
     const snapshot = await client.readSnapshot();
-    t.is(calls(), 4);
+    t.is(getCallCount(), 4);
     t.is(getEra(snapshot.revision), 2);
   });
 });
 
-test("an answer of a lower era is a failed read", async (t) => {
-  await withEras(["3", "3", "2"], async (client) => {
+test("a response with a lower era is a failed read", async (t) => {
+  await withStoreEras(["3", "3", "2"], async (client) => {
     const { revision } = await client.readSnapshot();
-    t.is(await getFailure(client.watch(revision, 10)), "unavailable");
+    t.is(await getFailureKind(client.watch(revision, 10)), "unavailable");
   });
 });
 
-test("an era that is missing or malformed tells no change", async (t) => {
+test("a missing or malformed era is ignored", async (t) => {
   for (const era of [undefined, "", "x", "-1", "1.5", "99999", "1e3"]) {
-    await withEras(["3", "3", era], async (client) => {
+    await withStoreEras(["3", "3", era], async (client) => {
       const { revision } = await client.readSnapshot();
       t.is((await client.watch(revision, 10)).revision, revision);
     });
