--- a/src/membership/fleet_view.ts
+++ b/src/membership/fleet_view.ts
@@ -1,29 +1,29 @@
 import type { Host } from "../configuration_service/host_schema.ts";
 
-/** A router as it is seen now. */
+/** A listed router and its current status. */
 export interface RouterView {
   host: Host;
-  /** Whether it answers probes. */
+  /** Whether its status is alive; always true for this router itself. */
   heard: boolean;
-  /** Whether it has been silent for so long that connections to it are given up. */
+  /** Whether its status is dead: it was silent for so long that connections to it are closed. */
   lost: boolean;
-  /** Whether callers and work should go elsewhere, by its own word or the list's. */
+  /** Whether callers and work should go to other routers, because the router itself or the host list says so. */
   unavailable: boolean;
 }
 
-/** An immutable picture of routers and upstreams, replaced whenever something changes. */
+/** An immutable snapshot of all listed routers and upstreams, replaced on every change. */
 export class FleetView {
   private readonly routersById: ReadonlyMap<string, RouterView>;
   private readonly upstreamsById: ReadonlyMap<string, Host>;
 
   private constructor(
-    /** Id of the router that holds the view. */
+    /** Id of the router that owns the view. */
     readonly ownId: string,
-    /** Version of the host list behind the view; 0 before any was read. */
+    /** Version of the host list that the view was built from; 0 before the first list was read. */
     readonly version: number,
-    /** All listed routers, this one included. */
+    /** All listed routers, including this one. */
     readonly routers: readonly RouterView[],
-    /** All listed upstreams, leaving ones included. */
+    /** All listed upstreams, including those that are leaving. */
     readonly upstreams: readonly Host[],
   ) {
     this.routersById = new Map(
@@ -35,7 +35,7 @@
   }
 
   /** Creates a view.
-   * @param ownId Id of the router that holds it.
+   * @param ownId Id of the router that owns it.
    * @param version Version of the host list.
    * @param routers All listed routers.
    * @param upstreams All listed upstreams. */
@@ -48,19 +48,19 @@
     return new FleetView(ownId, version, routers, upstreams);
   }
 
-  /** Returns a router, or nothing where it is not listed.
+  /** Returns a router, or undefined if it is not listed.
    * @param id The router's id. */
   getRouter(id: string): RouterView | undefined {
     return this.routersById.get(id);
   }
 
-  /** Returns an upstream, or nothing where it is not listed.
+  /** Returns an upstream, or undefined if it is not listed.
    * @param id The upstream's id. */
   getUpstream(id: string): Host | undefined {
     return this.upstreamsById.get(id);
   }
 
-  /** Part of the listed routers that this one hears, itself included; between 0 and 1. */
+  /** Fraction of the listed routers whose status is alive, including this one; 1 if none is listed. */
   get heardShare(): number {
     if (this.routers.length === 0) return 1;
     return this.routers.filter((router) => router.heard).length /
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -1,20 +1,21 @@
 import type { Rumour } from "./rumour.ts";
 import { RumourQueue } from "./rumour_queue.ts";
 
-/** A router of the published list with what is believed of it. */
+/** A listed router and its last known state. */
 export interface Member extends Rumour {
-  /** Monotonic milliseconds of the last change of status. */
-  changedAt: number;
+  /** Monotonic milliseconds at which the status last changed. */
+  statusChangedAt: number;
 }
 
+/** Within one incarnation, a status overrides those of lower rank. */
 const STATUS_RANK: Readonly<Record<Rumour["status"], number>> = {
   alive: 0,
   suspect: 1,
   dead: 2,
 };
 
-/** What one router believes of the routers on the published list.
- * The list alone adds and removes members; probes only decide whether a member is used. */
+/** The status of every other listed router, as known to one router.
+ * Only the host list adds and removes members; probes and rumours only change their status. */
 export class MemberTable {
   private readonly members = new Map<string, Member>();
   private readonly rumours = RumourQueue.create<string>();
@@ -31,9 +32,9 @@
   }
 
   /** Creates an empty table.
-   * @param ownId Id of the router that holds the table.
-   * @param incarnation Its first incarnation; greater than that of any earlier process of the id.
-   * @param suspicionMs Time from suspicion to death. */
+   * @param ownId Id of the router that owns the table.
+   * @param incarnation Its initial incarnation, greater than that of any earlier process with this id.
+   * @param suspicionMs Time after which a suspected member is declared dead. */
   static create(
     ownId: string,
     incarnation: number,
@@ -42,10 +43,10 @@
     return new MemberTable(ownId, incarnation, suspicionMs);
   }
 
-  /** Takes over a published list.
-   * @param ids Ids of the routers on it.
+  /** Adds routers that are newly listed, as alive, and removes those that are no longer listed.
+   * @param ids Ids of all listed routers.
    * @param now Monotonic milliseconds. */
-  applyList(ids: readonly string[], now: number): void {
+  setListedRouters(ids: readonly string[], now: number): void {
     const listed = new Set(ids);
     for (const id of this.members.keys()) {
       if (!listed.has(id)) this.members.delete(id);
@@ -57,13 +58,13 @@
         incarnation: 0,
         status: "alive",
         unavailable: false,
-        changedAt: now,
+        statusChangedAt: now,
       });
     }
   }
 
-  /** Merges what another router believes.
-   * @param rumour The belief.
+  /** Merges a rumour received from another router; one that claims this router to be suspect or dead is refuted.
+   * @param rumour The rumour.
    * @param now Monotonic milliseconds. */
   applyRumour(rumour: Rumour, now: number): void {
     if (rumour.id === this.ownId) return this.refute(rumour);
@@ -75,54 +76,55 @@
     this.update(member, { ...rumour, unavailable }, now);
   }
 
-  /** Records an answer that came from the member itself.
-   * @param self What the member says of itself.
+  /** Marks a member alive after it sent a message or answered a probe.
+   * @param state State that the member reports about itself.
    * @param now Monotonic milliseconds. */
-  markHeard(self: Omit<Rumour, "status">, now: number): void {
-    const member = this.members.get(self.id);
-    if (!member || self.incarnation < member.incarnation) return;
+  markAlive(state: Omit<Rumour, "status">, now: number): void {
+    const member = this.members.get(state.id);
+    if (!member || state.incarnation < member.incarnation) return;
     if (
-      member.status === "alive" && member.unavailable === self.unavailable &&
-      member.incarnation === self.incarnation
+      member.status === "alive" && member.unavailable === state.unavailable &&
+      member.incarnation === state.incarnation
     ) {
       return;
     }
-    this.update(member, { ...self, status: "alive" }, now);
+    this.update(member, { ...state, status: "alive" }, now);
   }
 
-  /** Records that a member did not answer.
-   * @param id The member.
+  /** Marks a member suspect after it failed to answer a probe; a member that is suspect or dead is left as it is.
+   * @param id Id of the member.
    * @param now Monotonic milliseconds. */
-  markSilent(id: string, now: number): void {
+  markSuspect(id: string, now: number): void {
     const member = this.members.get(id);
     if (member?.status === "alive") {
       this.update(member, { ...member, status: "suspect" }, now);
     }
   }
 
-  /** Turns suspicions that have lasted long enough into deaths.
+  /** Declares members dead that have been suspect for the suspicion time.
    * @param now Monotonic milliseconds. */
   expireSuspicions(now: number): void {
     for (const member of this.members.values()) {
       if (
         member.status === "suspect" &&
-        now - member.changedAt >= this.suspicionMs
+        now - member.statusChangedAt >= this.suspicionMs
       ) {
         this.update(member, { ...member, status: "dead" }, now);
       }
     }
   }
 
-  /** Says whether callers and work should go elsewhere; at first they should.
-   * @param isUnavailable Whether they should. */
+  /** Sets whether this router is unavailable, which it is initially. The new incarnation makes the state override the
+   * earlier one.
+   * @param isUnavailable Whether callers and work should go to other routers. */
   setUnavailable(isUnavailable: boolean): void {
     this.isUnavailable = isUnavailable;
     this.ownIncarnation += 1;
     this.changeCount += 1;
   }
 
-  /** What this router says of itself. */
-  getSelf(): Rumour {
+  /** Returns the state that this router reports about itself. */
+  getOwnRumour(): Rumour {
     return {
       id: this.ownId,
       incarnation: this.ownIncarnation,
@@ -131,24 +133,24 @@
     };
   }
 
-  /** Number of changes so far; equal numbers mean an equal table. */
+  /** Number of changes of state so far, not counting routers that the host list added or removed. */
   get changes(): number {
     return this.changeCount;
   }
 
-  /** The members, without this router. */
+  /** Returns all members; this router is not one of them. */
   getMembers(): Member[] {
     return [...this.members.values()];
   }
 
-  /** Returns a member, or nothing where the list does not hold it.
-   * @param id The member's id. */
+  /** Returns a member, or undefined if it is not listed.
+   * @param id Id of the member. */
   getMember(id: string): Member | undefined {
     return this.members.get(id);
   }
 
-  /** Takes the rumours to put on the next message, those least passed on first.
-   * @param limit Most rumours taken. */
+  /** Returns rumours to piggyback on the next message, those transmitted least often first.
+   * @param limit Maximum number of rumours. */
   takeRumours(limit: number): Rumour[] {
     return this.rumours.take(limit, this.members.size).flatMap((id) => {
       const member = this.members.get(id);
@@ -156,15 +158,16 @@
     });
   }
 
-  private update(member: Member, belief: Rumour, now: number): void {
-    if (member.status !== belief.status) member.changedAt = now;
-    member.incarnation = belief.incarnation;
-    member.status = belief.status;
-    member.unavailable = belief.unavailable;
+  private update(member: Member, rumour: Rumour, now: number): void {
+    if (member.status !== rumour.status) member.statusChangedAt = now;
+    member.incarnation = rumour.incarnation;
+    member.status = rumour.status;
+    member.unavailable = rumour.unavailable;
     this.rumours.add(member.id);
     this.changeCount += 1;
   }
 
+  /** Refutes a rumour that this router is suspect or dead, by an incarnation greater than the rumour's. */
   private refute(rumour: Rumour): void {
     if (
       rumour.status !== "alive" && rumour.incarnation >= this.ownIncarnation
@@ -174,6 +177,8 @@
   }
 }
 
+/** Whether a rumour overrides the known state: by a newer incarnation, or within one by a status of higher rank or by
+ * reporting the router unavailable. */
 function supersedes(rumour: Rumour, member: Member): boolean {
   if (rumour.incarnation !== member.incarnation) {
     return rumour.incarnation > member.incarnation;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -7,37 +7,37 @@
 import { Random } from "../random/random.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { FleetView } from "./fleet_view.ts";
-import { logChanges, viewRouters } from "./view_routers.ts";
+import { buildRouterViews, logRouterChanges } from "./view_routers.ts";
 import { MemberTable } from "./member_table.ts";
 import type { ProbeMessage } from "./probe_message.ts";
 import { type DatagramAddress, ProbeSocket } from "./probe_socket.ts";
 import { ProbeRound } from "./probe_round.ts";
 
-/** Rumours on one datagram. */
-const RUMOURS_PER_MESSAGE = 6;
+/** Maximum number of rumours piggybacked on one datagram. */
+const MAX_RUMOURS_PER_MESSAGE = 6;
 
-/** What membership needs of the rest of the router. */
+/** Dependencies and callbacks of `Membership`. */
 export interface MembershipOptions {
   settings: Settings;
   system: ActorSystem;
   secret: FleetSecret;
   guard: PauseGuard;
   logger: Logger;
-  /** The configuration this router holds. */
+  /** Returns digest and revision of this router's configuration. */
   getConfiguration: () => { digest: number; revision: number };
-  /** The loads of the upstreams this router owns. */
+  /** Returns the loads of the upstreams that this router owns, in the form of `ProbeMessage.loads`. */
   getLoads: () => [number, number][];
-  /** Told of each peer's configuration. */
+  /** Called with the configuration digest and revision in every message from a peer. */
   onPeerConfiguration: (
     peerId: string,
     digest: number,
     revision: number,
   ) => void;
-  /** Told of each peer's loads. */
+  /** Called with the upstream loads in every message from a peer. */
   onPeerLoads: (id: string, loads: readonly [number, number][]) => void;
-  /** Told of each peer that has a newer list of hosts. */
+  /** Called for every message from a peer whose host list is newer than this router's. */
   onNewerHosts: (peerId: string, version: number) => void;
-  /** Told of each new view. */
+  /** Called with every new view. */
   onView: (view: FleetView) => void;
 }
 
@@ -50,12 +50,12 @@
   push: null;
 };
 
-/** The task that owns the probe socket and the member table, and publishes a view of the fleet. */
+/** Actor that owns the probe socket and the member table, and publishes a view of the fleet on every change. */
 export class Membership {
   private readonly table: MemberTable;
   private readonly random = Random.create();
   private readonly actor: Actor<MembershipMessages>;
-  private readonly rounds: ProbeRound;
+  private readonly prober: ProbeRound;
   private readonly timer: NodeJS.Timeout;
   private hostList: HostList = { version: 0, hosts: [] };
   private currentView: FleetView;
@@ -74,22 +74,23 @@
       settings.membership.suspicionMs,
     );
     this.currentView = FleetView.create(settings.id, 0, [], []);
-    this.rounds = ProbeRound.create(settings.membership.probeTimeoutMs, {
+    this.prober = ProbeRound.create(settings.membership.probeTimeoutMs, {
       sendPing: (target, nonce) =>
-        this.send(target, { type: "ping", ...this.header(nonce) }),
-      sendRelays: (target, nonce) => this.sendRelays(target, nonce),
+        this.send(target, { type: "ping", ...this.buildHeader(nonce) }),
+      sendRelays: (target, nonce) => this.requestIndirectProbes(target, nonce),
       onSilent: (target) => this.actor.tell("unreachable", target),
     });
     this.actor = Actor.create<MembershipMessages>(
       options.system,
       "membership",
       {
-        datagram: ({ message, from }) => this.receive(message, from),
-        hostList: (list) => this.takeHostList(list),
-        tick: () => this.probe(),
+        datagram: ({ message, from }) => this.handleMessage(message, from),
+        hostList: (list) => this.applyHostList(list),
+        tick: () => this.probeNextMembers(),
         unreachable: (id) => this.suspect(id),
-        unavailable: (isUnavailable) => this.announce(isUnavailable),
-        push: () => this.push(),
+        unavailable: (isUnavailable) =>
+          this.announceAvailability(isUnavailable),
+        push: () => this.sendLoadsNow(),
       },
       options.logger,
     );
@@ -100,7 +101,7 @@
   }
 
   /** Binds the probe socket and starts probing.
-   * @param options What membership needs. */
+   * @param options Dependencies and callbacks. */
   static async create(options: MembershipOptions): Promise<Membership> {
     const membership = new Membership(options, undefined);
     const { host, port } = options.settings.peer;
@@ -112,17 +113,17 @@
     return membership;
   }
 
-  /** The list of hosts in use. */
+  /** The host list in use. */
   get hosts(): HostList {
     return this.hostList;
   }
 
-  /** The present view of the fleet. */
+  /** The current view of the fleet. */
   get view(): FleetView {
     return this.currentView;
   }
 
-  /** Bytes and datagrams sent since the start. */
+  /** Bytes and datagrams sent since this router started. */
   get traffic(): { bytes: number; messages: number } {
     return {
       bytes: this.socket?.bytesSent ?? 0,
@@ -130,30 +131,30 @@
     };
   }
 
-  /** Takes over a published host list.
-   * @param list The list. */
+  /** Replaces the host list, if the given one is newer.
+   * @param list The host list. */
   offerHostList(list: HostList): void {
     this.actor.tell("hostList", list);
   }
 
-  /** Records that a connection to a router failed.
-   * @param id The router. */
+  /** Marks a router suspect after a connection to it failed.
+   * @param id Id of the router. */
   reportUnreachable(id: string): void {
     this.actor.tell("unreachable", id);
   }
 
-  /** Tells peers the own loads now instead of with the next probe. */
+  /** Sends this router's upstream loads to some peers now instead of at the next probe interval. */
   pushLoads(): void {
     this.actor.tell("push", null);
   }
 
-  /** Drops the probes under way, whose answers may have waited while this process did not run. */
+  /** Cancels all pending probes, because answers may have been delayed while this process was paused. */
   forgetProbes(): void {
-    this.rounds.close();
+    this.prober.close();
   }
 
-  /** Tells the fleet whether callers and work should go elsewhere; at first they should.
-   * @param isUnavailable Whether they should. */
+  /** Announces to the fleet whether this router is unavailable, which it is initially.
+   * @param isUnavailable Whether callers and work should go to other routers. */
   setUnavailable(isUnavailable: boolean): void {
     this.actor.tell("unavailable", isUnavailable);
   }
@@ -161,14 +162,14 @@
   /** Stops probing and closes the socket. */
   close(): void {
     clearInterval(this.timer);
-    this.rounds.close();
+    this.prober.close();
     this.actor.close();
     this.socket?.close();
   }
 
-  private receive(message: ProbeMessage, from: DatagramAddress): void {
+  private handleMessage(message: ProbeMessage, sender: DatagramAddress): void {
     const now = readClock();
-    this.table.markHeard({
+    this.table.markAlive({
       id: message.from,
       incarnation: message.incarnation,
       unavailable: message.unavailable,
@@ -184,53 +185,59 @@
       this.options.onNewerHosts(message.from, message.hosts);
     }
     if (message.type === "ping") {
-      this.socket?.send({ type: "ack", ...this.header(message.nonce) }, from);
+      this.socket?.send(
+        { type: "ack", ...this.buildHeader(message.nonce) },
+        sender,
+      );
     }
     if (message.type === "relay") {
-      this.relay(message.target, message.nonce, from);
+      this.relay(message.target, message.nonce, sender);
     }
     if (message.type === "ack") this.acknowledge(message.from, message.nonce);
     if (message.type === "relayed") {
-      this.table.markHeard(message.target, now);
+      this.table.markAlive(message.target, now);
       this.acknowledge(message.target.id, message.nonce);
     }
-    this.publish();
+    this.publishView();
   }
 
   private acknowledge(id: string, nonce: number): void {
     this.options.guard.isFresh();
-    if (this.rounds.acknowledge(id, nonce)) this.options.guard.markHeard();
+    if (this.prober.acknowledge(id, nonce)) this.options.guard.markHeard();
   }
 
-  private relay(target: string, nonce: number, from: DatagramAddress): void {
-    this.rounds.probe(target, () => {
+  /** Probes a member on behalf of another router and sends it the member's state if the member answers. */
+  private relay(target: string, nonce: number, sender: DatagramAddress): void {
+    this.prober.probe(target, () => {
       const member = this.table.getMember(target);
       if (!member) return;
       const { id, incarnation, status, unavailable } = member;
       const rumour = { id, incarnation, status, unavailable };
       this.socket?.send({
         type: "relayed",
-        ...this.header(nonce),
+        ...this.buildHeader(nonce),
         target: rumour,
-      }, from);
+      }, sender);
     });
   }
 
-  private takeHostList(list: HostList): void {
+  private applyHostList(list: HostList): void {
     if (list.version <= this.hostList.version) return;
     this.hostList = list;
     const routers = list.hosts.filter((host) => host.role === "router");
-    this.table.applyList(routers.map((host) => host.id), readClock());
+    this.table.setListedRouters(routers.map((host) => host.id), readClock());
     this.peerAddresses = new Map(
       routers.map((
         host,
       ) => [host.id, { address: host.address, port: host.peerPort ?? 0 }]),
     );
     this.probeOrder = [];
-    this.publish();
+    this.publishView();
   }
 
-  private probe(): void {
+  /** Runs once per probe interval. While no member is alive, no answer is expected that would end the guard's stale
+   * state after a pause, so it is ended here. */
+  private probeNextMembers(): void {
     this.options.guard.isFresh();
     this.table.expireSuspicions(readClock());
     if (this.table.getMembers().every((member) => member.status !== "alive")) {
@@ -242,22 +249,24 @@
       count++
     ) {
       const target = this.nextTarget();
-      if (target) this.rounds.probe(target);
+      if (target) this.prober.probe(target);
     }
-    this.publish();
+    this.publishView();
   }
 
-  private push(): void {
+  /** Probes twice as many members as one interval does, since every probe carries the loads. */
+  private sendLoadsNow(): void {
     for (
       const member of this.table.getMembers().slice(
         0,
         this.options.settings.membership.probeFanout * 2,
       )
     ) {
-      this.rounds.probe(member.id);
+      this.prober.probe(member.id);
     }
   }
 
+  /** Returns the next member in a random order that visits every member once before it is drawn again, as in SWIM. */
   private nextTarget(): string | undefined {
     if (this.probeOrder.length === 0) {
       this.probeOrder = this.random.shuffle(
@@ -267,24 +276,30 @@
     return this.probeOrder.pop();
   }
 
+  /** Marks a member suspect, unless this process was paused and no probe was answered since: the pause itself may then
+   * be why the member seemed silent. */
   private suspect(id: string): void {
     if (!this.options.guard.isFresh()) return;
-    this.table.markSilent(id, readClock());
-    this.publish();
+    this.table.markSuspect(id, readClock());
+    this.publishView();
   }
 
-  private announce(isUnavailable: boolean): void {
+  private announceAvailability(isUnavailable: boolean): void {
     this.table.setUnavailable(isUnavailable);
-    for (const member of this.table.getMembers()) this.rounds.probe(member.id);
-    this.publish();
+    for (const member of this.table.getMembers()) this.prober.probe(member.id);
+    this.publishView();
   }
 
-  private sendRelays(target: string, nonce: number): void {
-    const helpers = this.table.getMembers().filter((member) =>
+  private requestIndirectProbes(target: string, nonce: number): void {
+    const relays = this.table.getMembers().filter((member) =>
       member.status === "alive" && member.id !== target
     );
-    for (const helper of this.random.shuffle(helpers).slice(0, 2)) {
-      this.send(helper.id, { type: "relay", ...this.header(nonce), target });
+    for (const relay of this.random.shuffle(relays).slice(0, 2)) {
+      this.send(relay.id, {
+        type: "relay",
+        ...this.buildHeader(nonce),
+        target,
+      });
     }
   }
 
@@ -293,31 +308,31 @@
     if (address) this.socket?.send(message, address);
   }
 
-  private header(nonce: number) {
-    const self = this.table.getSelf();
+  private buildHeader(nonce: number) {
+    const ownRumour = this.table.getOwnRumour();
     return {
-      from: self.id,
-      incarnation: self.incarnation,
-      unavailable: self.unavailable,
+      from: ownRumour.id,
+      incarnation: ownRumour.incarnation,
+      unavailable: ownRumour.unavailable,
       nonce,
       ...this.options.getConfiguration(),
       hosts: this.hostList.version,
-      rumours: this.table.takeRumours(RUMOURS_PER_MESSAGE),
+      rumours: this.table.takeRumours(MAX_RUMOURS_PER_MESSAGE),
       loads: this.options.getLoads(),
     };
   }
 
-  private publish(): void {
+  private publishView(): void {
     const isUnchanged = this.table.changes === this.publishedChanges;
     if (isUnchanged && this.currentView.version === this.hostList.version) {
       return;
     }
     this.publishedChanges = this.table.changes;
-    const routers = viewRouters(this.hostList, this.table);
+    const routers = buildRouterViews(this.hostList, this.table);
     const upstreams = this.hostList.hosts.filter((host) =>
       host.role !== "router"
     );
-    logChanges(this.currentView, routers, this.options.logger);
+    logRouterChanges(this.currentView, routers, this.options.logger);
     this.currentView = FleetView.create(
       this.options.settings.id,
       this.hostList.version,
--- a/src/membership/probe_message.ts
+++ b/src/membership/probe_message.ts
@@ -8,16 +8,18 @@
   nonce: z.number().int(),
   /** Digest of the sender's configuration. */
   digest: z.number().int(),
-  /** Highest configuration revision the sender has seen. */
+  /** Highest configuration revision that the sender has seen. */
   revision: z.number().int(),
-  /** Version of the sender's list of hosts. */
+  /** Version of the sender's host list. */
   hosts: z.number().int().nonnegative(),
   rumours: z.array(rumourSchema).max(16),
-  /** Requests in flight per owned upstream: hash of its id and the number; -1 where it cannot be reached. */
+  /** For each upstream that the sender owns, the hash of its id and its number of requests in flight, -1 if it is
+   * unreachable. */
   loads: z.array(z.tuple([z.number().int(), z.number().int()])).max(128),
 };
 
-/** A datagram between two routers. */
+/** Schema of a datagram between two routers. A `ping` is answered by an `ack`. A `relay` asks the receiver to probe the
+ * target on the sender's behalf, and is answered by a `relayed` with the target's state if the target answers. */
 export const probeMessageSchema = z.discriminatedUnion("type", [
   z.object({ type: z.literal("ping"), ...header }),
   z.object({ type: z.literal("ack"), ...header }),
--- a/src/membership/probe_round.ts
+++ b/src/membership/probe_round.ts
@@ -4,25 +4,25 @@
   type Timeline,
 } from "../clock/timeline.ts";
 
-/** What a probe round does to the outside. */
+/** Callbacks of `ProbeRound`. */
 export interface ProbeRoundOptions {
-  /** Sends a ping to a router. */
+  /** Sends a ping to the target. */
   sendPing: (target: string, nonce: number) => void;
-  /** Asks other routers to ping the target. */
+  /** Asks other hosts to probe the target (indirect probe). */
   sendRelays: (target: string, nonce: number) => void;
-  /** Told of a target that answered neither directly nor through others. */
+  /** Called with a target that answered neither the direct nor an indirect probe. */
   onSilent: (target: string) => void;
 }
 
-interface Pending {
+interface PendingProbe {
   target: string;
   stopTimer: StopTimer;
   onAcknowledged: (() => void) | undefined;
 }
 
-/** Probes routers: a ping, then pings through others, then silence. */
+/** Probes hosts as in SWIM: a direct ping, then indirect probes through other hosts, then failure. */
 export class ProbeRound {
-  private readonly pending = new Map<number, Pending>();
+  private readonly pending = new Map<number, PendingProbe>();
   private nextNonce = 1;
 
   private constructor(
@@ -31,10 +31,10 @@
     private readonly timeline: Timeline,
   ) {}
 
-  /** Creates the rounds of one router.
-   * @param timeoutMs Time for a ping to be answered.
-   * @param options What a round does to the outside.
-   * @param timeline Where timers are set; the process's by default. */
+  /** Creates a prober without pending probes.
+   * @param timeoutMs Timeout of a direct ping; indirect probes get twice as long.
+   * @param options Callbacks.
+   * @param timeline Clock and timers to use; those of the process by default. */
   static create(
     timeoutMs: number,
     options: ProbeRoundOptions,
@@ -44,27 +44,28 @@
   }
 
   /** Starts a probe.
-   * @param target The router to probe.
-   * @param onAcknowledged Given for a probe on another's behalf; silence is then not reported. */
+   * @param target Host to probe.
+   * @param onAcknowledged Called when the target answers; given only for a probe on behalf of another host. Such a
+   * probe is not followed by indirect probes, and its failure is not reported. */
   probe(target: string, onAcknowledged?: () => void): void {
     const nonce = this.nextNonce++;
     const stopTimer = this.timeline.after(
       this.timeoutMs,
-      () => this.onFirstTimeout(nonce),
+      () => this.onDirectTimeout(nonce),
     );
     this.pending.set(nonce, { target, stopTimer, onAcknowledged });
     this.options.sendPing(target, nonce);
   }
 
-  /** Whether a probe of a router is under way.
-   * @param target The router. */
+  /** Whether a probe of a host is pending.
+   * @param target The host. */
   isProbing(target: string): boolean {
     return [...this.pending.values()].some((probe) => probe.target === target);
   }
 
-  /** Records an acknowledgement; returns whether it belongs to a probe under way.
-   * @param id The router that was heard.
-   * @param nonce The probe's nonce. */
+  /** Completes the probe that an acknowledgement belongs to; returns whether it belongs to a pending one.
+   * @param id Host that was probed.
+   * @param nonce Nonce of the probe. */
   acknowledge(id: string, nonce: number): boolean {
     const pending = this.pending.get(nonce);
     if (!pending || pending.target !== id) return false;
@@ -74,13 +75,13 @@
     return true;
   }
 
-  /** Ends all probes. */
+  /** Cancels all pending probes. */
   close(): void {
     for (const pending of this.pending.values()) pending.stopTimer();
     this.pending.clear();
   }
 
-  private onFirstTimeout(nonce: number): void {
+  private onDirectTimeout(nonce: number): void {
     const pending = this.pending.get(nonce);
     if (!pending) return;
     if (pending.onAcknowledged) {
@@ -90,11 +91,11 @@
     this.options.sendRelays(pending.target, nonce);
     pending.stopTimer = this.timeline.after(
       this.timeoutMs * 2,
-      () => this.onSecondTimeout(nonce),
+      () => this.onIndirectTimeout(nonce),
     );
   }
 
-  private onSecondTimeout(nonce: number): void {
+  private onIndirectTimeout(nonce: number): void {
     const pending = this.pending.get(nonce);
     if (!pending) return;
     this.pending.delete(nonce);
--- a/src/membership/probe_socket.ts
+++ b/src/membership/probe_socket.ts
@@ -3,7 +3,7 @@
 import type { FleetSecret } from "../peer/fleet_secret.ts";
 import { type ProbeMessage, probeMessageSchema } from "./probe_message.ts";
 
-/** Where a datagram came from or goes to. */
+/** Address that a datagram comes from or is sent to. */
 export interface DatagramAddress {
   address: string;
   port: number;
@@ -11,11 +11,11 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** The UDP socket on which routers probe each other; what is not signed or not well formed is dropped. */
+/** UDP socket for probes between routers; datagrams that are unsigned or malformed are dropped. */
 export class ProbeSocket {
-  /** Bytes sent since the start. */
+  /** Bytes sent since the socket was created. */
   bytesSent = 0;
-  /** Datagrams sent since the start. */
+  /** Datagrams sent since the socket was created. */
   messagesSent = 0;
 
   private constructor(
@@ -24,34 +24,34 @@
   ) {}
 
   /** Binds a socket.
-   * @param at Where to bind.
-   * @param secret Signs and checks each datagram.
-   * @param onMessage Called for each valid message. */
+   * @param bindAddress Address to bind.
+   * @param secret Secret that signs and verifies each datagram.
+   * @param onMessage Called with each valid message and its sender. */
   static async create(
-    at: DatagramAddress,
+    bindAddress: DatagramAddress,
     secret: FleetSecret,
     onMessage: (message: ProbeMessage, from: DatagramAddress) => void,
   ): Promise<ProbeSocket> {
     const socket = createSocket("udp4");
-    const probes = new ProbeSocket(socket, secret);
+    const probeSocket = new ProbeSocket(socket, secret);
     socket.on("message", (datagram, from) => {
-      const message = probes.decode(datagram);
+      const message = probeSocket.decode(datagram);
       if (message) onMessage(message, from);
     });
     await new Promise<void>((resolve, reject) => {
       socket.once("error", reject);
-      socket.bind(at.port, at.address, () => {
+      socket.bind(bindAddress.port, bindAddress.address, () => {
         socket.off("error", reject);
         socket.on("error", () => undefined);
         resolve();
       });
     });
-    return probes;
+    return probeSocket;
   }
 
-  /** Sends a message; losses are not noticed.
+  /** Sends a message, without any sign of whether it arrives.
    * @param message The message.
-   * @param to The receiver. */
+   * @param to Address of the receiver. */
   send(message: ProbeMessage, to: DatagramAddress): void {
     const datagram = this.secret.seal(packr.pack(message));
     this.bytesSent += datagram.length;
--- a/src/membership/rumour.ts
+++ b/src/membership/rumour.ts
@@ -1,14 +1,14 @@
 import { z } from "zod";
 
-/** What one router believes of another, as it is passed on. */
+/** Schema of a rumour. */
 export const rumourSchema = z.object({
   id: z.string().min(1).max(64),
-  /** Grows with each start of the router, and with each refutation of a suspicion. */
+  /** Increases with each start of the router, each change of its availability and each rumour that it refutes. */
   incarnation: z.number().int().nonnegative(),
   status: z.enum(["alive", "suspect", "dead"]),
-  /** Whether callers and work should go elsewhere: the router is starting or stopping. */
+  /** Whether callers and work should go to other routers, because this one is starting or stopping. */
   unavailable: z.boolean(),
 });
 
-/** What one router believes of another. */
+/** A claim about the state of one router, disseminated by gossip. */
 export type Rumour = z.infer<typeof rumourSchema>;
--- a/src/membership/rumour_queue.ts
+++ b/src/membership/rumour_queue.ts
@@ -1,35 +1,39 @@
-/** Times each rumour is passed on, per doubling of the fleet. */
-const SPREAD_FACTOR = 3;
+/** Transmissions of each rumour, per doubling of the fleet size. */
+const RETRANSMIT_FACTOR = 3;
 
-/** Members whose rumours are to be passed on, each a number of times that grows with the fleet. */
-export class RumourQueue<Name> {
-  private readonly spreads = new Map<Name, number>();
+/** Queue of the members whose rumours are to be disseminated. Each rumour is transmitted a number of times that grows
+ * with the logarithm of the fleet size. */
+export class RumourQueue<Key> {
+  /** Transmissions of the queued rumours so far, by the key of the member. */
+  private readonly counts = new Map<Key, number>();
 
   private constructor() {}
 
   /** Creates an empty queue. */
-  static create<Name>(): RumourQueue<Name> {
+  static create<Key>(): RumourQueue<Key> {
     return new RumourQueue();
   }
 
-  /** Queues the rumour about a member, or queues it anew.
-   * @param name The member. */
-  add(name: Name): void {
-    this.spreads.set(name, 0);
+  /** Queues the rumour about a member; if it is queued already, its transmissions are counted from 0 again.
+   * @param key Key of the member. */
+  add(key: Key): void {
+    this.counts.set(key, 0);
   }
 
-  /** Takes the members whose rumours go on the next message, those least passed on first.
-   * @param limit Most members taken.
-   * @param fleetSize Members of the fleet. */
-  take(limit: number, fleetSize: number): Name[] {
-    if (this.spreads.size === 0) return [];
-    const most = SPREAD_FACTOR * Math.ceil(Math.log2(fleetSize + 2));
-    const chosen = [...this.spreads.entries()].sort((a, b) => a[1] - b[1])
+  /** Returns the members whose rumours go into the next message, those transmitted least often first, and counts the
+   * transmission.
+   * @param limit Maximum number of members.
+   * @param fleetSize Number of members in the fleet. */
+  take(limit: number, fleetSize: number): Key[] {
+    if (this.counts.size === 0) return [];
+    const maxTransmits = RETRANSMIT_FACTOR *
+      Math.ceil(Math.log2(fleetSize + 2));
+    const selected = [...this.counts.entries()].sort((a, b) => a[1] - b[1])
       .slice(0, limit);
-    for (const [name, spread] of chosen) {
-      if (spread + 1 >= most) this.spreads.delete(name);
-      else this.spreads.set(name, spread + 1);
+    for (const [key, count] of selected) {
+      if (count + 1 >= maxTransmits) this.counts.delete(key);
+      else this.counts.set(key, count + 1);
     }
-    return chosen.map(([name]) => name);
+    return selected.map(([key]) => key);
   }
 }
--- a/src/membership/view_routers.ts
+++ b/src/membership/view_routers.ts
@@ -3,34 +3,39 @@
 import type { FleetView, RouterView } from "./fleet_view.ts";
 import type { MemberTable } from "./member_table.ts";
 
-/** Joins the published list with what is believed of each router on it.
- * @param list The published list.
- * @param table What is believed. */
-export function viewRouters(list: HostList, table: MemberTable): RouterView[] {
-  const self = table.getSelf();
-  return list.hosts.filter((host) => host.role === "router").map((host) => {
-    const belief = host.id === self.id ? self : table.getMember(host.id);
+/** Combines the host list with the known status of each router on it.
+ * @param hostList The host list.
+ * @param table Status of the other routers. */
+export function buildRouterViews(
+  hostList: HostList,
+  table: MemberTable,
+): RouterView[] {
+  const ownRumour = table.getOwnRumour();
+  return hostList.hosts.filter((host) => host.role === "router").map((host) => {
+    const rumour = host.id === ownRumour.id
+      ? ownRumour
+      : table.getMember(host.id);
     return {
       host,
-      heard: belief?.status === "alive",
-      lost: belief?.status === "dead",
-      unavailable: host.state === "leaving" || (belief?.unavailable ?? false),
+      heard: rumour?.status === "alive",
+      lost: rumour?.status === "dead",
+      unavailable: host.state === "leaving" || (rumour?.unavailable ?? false),
     };
   });
 }
 
-/** Logs each router that is seen otherwise than before.
- * @param before The view until now.
- * @param routers The routers as they are seen now.
- * @param logger Where to write. */
-export function logChanges(
-  before: FleetView,
+/** Logs each router that is new or whose state changed.
+ * @param previousView View before the change.
+ * @param routers Routers after the change.
+ * @param logger Receives one line per router. */
+export function logRouterChanges(
+  previousView: FleetView,
   routers: readonly RouterView[],
   logger: Logger,
 ): void {
   for (const { host, heard, unavailable } of routers) {
-    const known = before.getRouter(host.id);
-    if (known?.heard === heard && known.unavailable === unavailable) continue;
-    logger.info({ peer: host.id, heard, unavailable }, "router_seen");
+    const prior = previousView.getRouter(host.id);
+    if (prior?.heard === heard && prior.unavailable === unavailable) continue;
+    logger.info({ peer: host.id, heard, unavailable }, "router_state_changed");
   }
 }
