--- a/src/crashes/crash_detector.ts
+++ b/src/crashes/crash_detector.ts
@@ -1,163 +1,180 @@
 import type { Logger } from "../logging/logger.ts";
 import { checkConnection, type CheckResult } from "./connection_check.ts";
 
-/** Time for which a break waits to be told from a crash where the check is undecided, in milliseconds: longer than the entry
- * of an upstream that crashed stays in the list. */
-const UNDECIDED_MS = 8_000;
+/** Time for which a suspected crash is kept after an undecided check or after its confirmation, in milliseconds. It
+ * is longer than a crashed upstream stays listed, so that its removal from the list can still confirm the crash. */
+const SUSPECTED_CRASH_RETENTION_MS = 8_000;
 
-/** One start of an upstream, as the detector sees it. */
+/** One instance of an upstream, that is, one start of its process. */
 export interface CheckedUpstream {
-  /** Its id, for the log. */
+  /** Id of the upstream, for the log. */
   readonly id: string;
-  /** Short name of the start in what hosts tell each other. */
+  /** Hash that identifies the instance in messages between hosts. */
   readonly shortName: number;
-  /** Address as ip:port. */
+  /** Address, as ip:port. */
   readonly address: string;
-  /** Whether it was leaving or gone when it was asked, so that its end is no crash. */
+  /** Whether the upstream is leaving or was removed from the list, so that its end is not a crash. */
   readonly isEndExpected: boolean;
 }
 
-/** A request whose connection ended before its answer did. */
-export interface Suspect {
+/** A request whose connection ended before its answer was complete. */
+export interface InterruptedRequest {
   fingerprint: number;
-  /** Points that count against it if this was a crash. */
+  /** Points that the request is given if the upstream crashed. */
   points: number;
 }
 
-/** What the detector needs and whom it tells. */
+/** Dependencies and callbacks of `CrashDetector`. */
 export interface CrashDetectorOptions {
   logger: Logger;
-  /** Told once of an upstream that crashed. */
+  /** Called once for each instance that crashed. */
   onCrash: (upstream: CheckedUpstream) => void;
-  /** Told of requests that were on it. */
-  onBlame: (upstream: CheckedUpstream, suspects: readonly Suspect[]) => void;
-  /** Finds out whether something listens at an address. */
+  /** Called with the requests that were interrupted by a confirmed crash. */
+  onAffected: (
+    upstream: CheckedUpstream,
+    requests: readonly InterruptedRequest[],
+  ) => void;
+  /** Checks whether something listens at an address; `checkConnection` by default. */
   check?: (address: string) => Promise<CheckResult>;
 }
 
-/** What is known of one upstream whose connections broke. */
-interface Suspicion {
+/** An instance that may have crashed, with the requests that it interrupted. */
+interface SuspectedCrash {
   upstream: CheckedUpstream;
-  suspects: Suspect[];
-  hasCrashed: boolean;
+  requests: InterruptedRequest[];
+  isConfirmed: boolean;
   timer: NodeJS.Timeout | undefined;
 }
 
-/** Tells the crash of an upstream from a single connection that was cut or reset: after a crash nothing listens at its
- * address. Asked at once with a connection of its own, for the next request there may come seconds later. */
+/** Distinguishes the crash of an upstream from a single connection that was closed or reset: after a crash nothing
+ * listens at its address. That is checked immediately by a separate connection, because the next request to the
+ * upstream may only follow seconds later. */
 export class CrashDetector {
-  /** By short name of the start. */
-  private readonly suspicions = new Map<number, Suspicion>();
+  /** Suspected and confirmed crashes, by the hash of the instance. */
+  private readonly crashes = new Map<number, SuspectedCrash>();
 
   private constructor(private readonly options: CrashDetectorOptions) {}
 
   /** Creates a detector.
-   * @param options What it needs. */
+   * @param options Dependencies and callbacks. */
   static create(options: CrashDetectorOptions): CrashDetector {
     return new CrashDetector(options);
   }
 
-  /** Takes a request whose connection ended before its answer did.
-   * @param upstream Where it was sent.
-   * @param suspect The request. */
-  noteBroken(upstream: CheckedUpstream, suspect: Suspect): void {
+  /** Records an interrupted request and checks whether its upstream crashed.
+   * @param upstream Instance that the request was sent to.
+   * @param request The request. */
+  recordInterruption(
+    upstream: CheckedUpstream,
+    request: InterruptedRequest,
+  ): void {
     if (upstream.isEndExpected) return;
-    const known = this.suspicions.get(upstream.shortName);
-    if (known?.hasCrashed) return this.options.onBlame(upstream, [suspect]);
-    if (known) known.suspects.push(suspect);
-    else this.start(upstream, [suspect]);
+    const crash = this.crashes.get(upstream.shortName);
+    if (crash?.isConfirmed) return this.options.onAffected(upstream, [request]);
+    if (crash) crash.requests.push(request);
+    else this.startCheck(upstream, [request]);
   }
 
-  /** Points that would count against a request if the breaks that are not yet understood were crashes; several tries of it
-   * on one upstream count once.
-   * @param fingerprint Its fingerprint. */
+  /** Returns the points that a request would be given if all unconfirmed crashes were confirmed; several attempts on
+   * one instance count once.
+   * @param fingerprint Fingerprint of the request. */
   getPendingPoints(fingerprint: number): number {
-    return [...this.suspicions.values()].filter((one) => !one.hasCrashed)
-      .map((one) => getPoints(one.suspects, fingerprint))
+    return [...this.crashes.values()].filter((crash) => !crash.isConfirmed)
+      .map((crash) => getMaxPoints(crash.requests, fingerprint))
       .reduce((sum, points) => sum + points, 0);
   }
 
-  /** Takes another host's word that an upstream has crashed; believed where nothing listens there, for that host may only be
-   * cut off from it.
-   * @param upstream The upstream. */
-  noteRumour(upstream: CheckedUpstream): void {
+  /** Checks a crash that another host reported: it is only confirmed if nothing listens at the address, because the
+   * other host may merely be cut off from the upstream.
+   * @param upstream Instance that is reported to have crashed. */
+  checkReportedCrash(upstream: CheckedUpstream): void {
     if (upstream.isEndExpected) return;
-    if (!this.suspicions.has(upstream.shortName)) this.start(upstream, []);
+    if (!this.crashes.has(upstream.shortName)) this.startCheck(upstream, []);
   }
 
-  /** Takes word that a start of an upstream has ended.
-   * @param upstream Short name of the start. */
-  noteGone(upstream: number): void {
-    const known = this.suspicions.get(upstream);
-    if (known && !known.hasCrashed) this.confirm(known);
+  /** Records that an instance was removed from the list or replaced, which confirms a suspected crash.
+   * @param instance Hash of the instance. */
+  recordRemoval(instance: number): void {
+    const crash = this.crashes.get(instance);
+    if (crash && !crash.isConfirmed) this.confirm(crash);
   }
 
-  /** Ends what waits. */
+  /** Stops all timers and discards all suspected crashes. */
   close(): void {
-    for (const { timer } of this.suspicions.values()) clearTimeout(timer);
-    this.suspicions.clear();
+    for (const { timer } of this.crashes.values()) clearTimeout(timer);
+    this.crashes.clear();
   }
 
-  private start(upstream: CheckedUpstream, suspects: Suspect[]): void {
-    const suspicion: Suspicion = {
+  private startCheck(
+    upstream: CheckedUpstream,
+    requests: InterruptedRequest[],
+  ): void {
+    const crash: SuspectedCrash = {
       upstream,
-      suspects,
-      hasCrashed: false,
+      requests,
+      isConfirmed: false,
       timer: undefined,
     };
-    this.suspicions.set(upstream.shortName, suspicion);
-    void this.check(suspicion);
+    this.crashes.set(upstream.shortName, crash);
+    void this.check(crash);
   }
 
-  private async check(suspicion: Suspicion): Promise<void> {
-    const { upstream } = suspicion;
+  private async check(crash: SuspectedCrash): Promise<void> {
+    const { upstream } = crash;
     const check = this.options.check ?? checkConnection;
     const result = await check(upstream.address);
-    if (this.suspicions.get(upstream.shortName) !== suspicion) return;
-    if (result === "refused") return this.confirm(suspicion);
-    if (result === "taken") return this.dismiss(suspicion, result);
-    suspicion.timer = setTimeout(
-      () => this.dismiss(suspicion, result),
-      UNDECIDED_MS,
+    if (this.crashes.get(upstream.shortName) !== crash) return;
+    if (result === "refused") return this.confirm(crash);
+    if (result === "taken") return this.dismiss(crash, result);
+    crash.timer = setTimeout(
+      () => this.dismiss(crash, result),
+      SUSPECTED_CRASH_RETENTION_MS,
     );
   }
 
-  private confirm(suspicion: Suspicion): void {
-    if (suspicion.hasCrashed) return;
-    clearTimeout(suspicion.timer);
-    suspicion.hasCrashed = true;
-    const { upstream, suspects } = suspicion;
+  private confirm(crash: SuspectedCrash): void {
+    if (crash.isConfirmed) return;
+    clearTimeout(crash.timer);
+    crash.isConfirmed = true;
+    const { upstream, requests } = crash;
     this.options.logger.warn(
-      { upstream: upstream.id, requests: suspects.length },
+      { upstream: upstream.id, requests: requests.length },
       "upstream_crashed",
     );
     this.options.onCrash(upstream);
-    if (suspects.length > 0) this.options.onBlame(upstream, suspects);
-    this.forgetLater(suspicion);
+    if (requests.length > 0) this.options.onAffected(upstream, requests);
+    this.scheduleRemoval(crash);
   }
 
-  private dismiss(suspicion: Suspicion, result: CheckResult): void {
-    const { upstream, suspects, hasCrashed } = suspicion;
-    if (hasCrashed) return;
-    this.suspicions.delete(upstream.shortName);
+  private dismiss(crash: SuspectedCrash, result: CheckResult): void {
+    const { upstream, requests, isConfirmed } = crash;
+    if (isConfirmed) return;
+    this.crashes.delete(upstream.shortName);
     this.options.logger.info(
-      { upstream: upstream.id, requests: suspects.length, check: result },
+      { upstream: upstream.id, requests: requests.length, check: result },
       "upstream_not_crashed",
     );
   }
 
-  /** Requests whose connections end a little later than the first are blamed too. */
-  private forgetLater(suspicion: Suspicion): void {
-    const { shortName } = suspicion.upstream;
-    suspicion.timer = setTimeout(
-      () => this.suspicions.delete(shortName),
-      UNDECIDED_MS,
+  /** Keeps a confirmed crash for a while, so that it is also attributed to requests whose connections end a little
+   * later. */
+  private scheduleRemoval(crash: SuspectedCrash): void {
+    const { shortName } = crash.upstream;
+    crash.timer = setTimeout(
+      () => this.crashes.delete(shortName),
+      SUSPECTED_CRASH_RETENTION_MS,
     );
-    suspicion.timer.unref();
+    crash.timer.unref();
   }
 }
 
-function getPoints(suspects: readonly Suspect[], fingerprint: number): number {
-  const same = suspects.filter((one) => one.fingerprint === fingerprint);
-  return Math.max(0, ...same.map((one) => one.points));
+/** Returns the most points among the requests with a fingerprint; 0 if there is none. */
+function getMaxPoints(
+  requests: readonly InterruptedRequest[],
+  fingerprint: number,
+): number {
+  const matching = requests.filter((request) =>
+    request.fingerprint === fingerprint
+  );
+  return Math.max(0, ...matching.map((request) => request.points));
 }
--- a/src/crashes/crash_gossip.ts
+++ b/src/crashes/crash_gossip.ts
@@ -1,84 +1,94 @@
 import { readClock } from "../clock/clock.ts";
 import { SMALL_FLEET } from "../peers/host_table.ts";
 import { Random } from "../random/random.ts";
-import type { CrashMemory } from "./crash_memory.ts";
+import type { CrashStore } from "./crash_memory.ts";
 import type { CrashWord } from "./crash_word.ts";
 
-/** Time in which news is gathered before it is told, in milliseconds. */
-const GATHER_MS = 15;
-/** Time between two tellings where there is more news than one holds, in milliseconds; bounds what a host spends when many
- * upstreams end at once. */
-const NEXT_TELLING_MS = 400;
-/** Words in one datagram, some forty bytes each, so that it fits into one packet. */
-const MAX_WORDS = 30;
-/** Hosts of a large fleet that are told news; each tells it on as often, so that all but two in a thousand of 2,700 hosts
- * hear it within eight tellings (mean of twenty draws). */
-const NEWS_FANOUT = 6;
-/** Interval at which one host is told part of all that is remembered, in milliseconds: what one that started or was cut off
- * has missed reaches it within some such times. */
-const REMINDER_MS = 500;
+/** Time in which new reports are batched before they are sent, in milliseconds. */
+const BATCH_DELAY_MS = 15;
+/** Time between two batches if more reports are pending than one holds, in milliseconds; it limits a host's sending
+ * rate when many upstreams crash at once. */
+const NEXT_BATCH_DELAY_MS = 400;
+/** Maximum number of reports in one message. At about forty bytes each, a datagram of them fits into one packet. */
+const MAX_REPORTS_PER_MESSAGE = 30;
+/** Hosts that a batch is sent to in a large fleet. Each receiver forwards what is new to it to as many, so that all
+ * but two in a thousand of 2,700 hosts receive it within eight hops (mean of twenty random draws). */
+const LARGE_FLEET_FANOUT = 6;
+/** Interval of the anti-entropy messages, in milliseconds. Each goes to one random host; a host that started late or
+ * was cut off receives the reports that it missed within a few intervals. */
+const ANTI_ENTROPY_INTERVAL_MS = 500;
 
-/** What the task needs. */
+/** Dependencies of `CrashGossip`. */
 export interface CrashGossipOptions {
-  memory: CrashMemory;
-  /** The other hosts that are heard, by what `send` takes. */
+  memory: CrashStore;
+  /** Returns the other live hosts, as `send` accepts them. */
   getHosts: () => readonly string[];
-  /** Sends words to one host; they may be lost. */
-  send: (host: string, words: readonly CrashWord[]) => void;
+  /** Sends reports to one host; they may be lost. */
+  send: (host: string, reports: readonly CrashWord[]) => void;
 }
 
-/** The task by which hosts tell each other which requests were under way on upstreams that crashed. News goes to all hosts
- * at once, in a large fleet by others; reminders reach those that missed it. Nothing is sent while nothing is remembered. */
+/** Gossips reports of the requests that were in flight on upstreams when they crashed. New reports are sent
+ * immediately to all hosts, or in a large fleet to some that forward them; anti-entropy messages reach hosts that
+ * missed them. Nothing is sent while the store is empty. */
 export class CrashGossip {
   private readonly random = Random.create();
-  private readonly reminders: NodeJS.Timeout;
-  private telling: NodeJS.Timeout | undefined;
+  private readonly antiEntropyTimer: NodeJS.Timeout;
+  private batchTimer: NodeJS.Timeout | undefined;
 
   private constructor(private readonly options: CrashGossipOptions) {
-    this.reminders = setInterval(() => this.remind(), REMINDER_MS);
+    this.antiEntropyTimer = setInterval(
+      () => this.sendSample(),
+      ANTI_ENTROPY_INTERVAL_MS,
+    );
   }
 
-  /** Starts the task.
-   * @param options What it needs. */
+  /** Starts gossiping.
+   * @param options Dependencies. */
   static create(options: CrashGossipOptions): CrashGossip {
     return new CrashGossip(options);
   }
 
-  /** Tells other hosts soon what is new. */
+  /** Schedules a batch of the pending reports, unless one is scheduled already. */
   announce(): void {
-    this.telling ??= setTimeout(() => this.tell(), GATHER_MS);
+    this.batchTimer ??= setTimeout(() => this.sendBatch(), BATCH_DELAY_MS);
   }
 
-  /** Stops the task. */
+  /** Stops gossiping. */
   close(): void {
-    clearInterval(this.reminders);
-    clearTimeout(this.telling);
+    clearInterval(this.antiEntropyTimer);
+    clearTimeout(this.batchTimer);
   }
 
-  private tell(): void {
-    this.telling = undefined;
+  private sendBatch(): void {
+    this.batchTimer = undefined;
     const { memory, getHosts } = this.options;
-    const words = memory.takeNews(MAX_WORDS, readClock());
+    const reports = memory.takePendingReports(
+      MAX_REPORTS_PER_MESSAGE,
+      readClock(),
+    );
     const hosts = this.random.shuffle(getHosts());
-    const told = hosts.length <= SMALL_FLEET
+    const receivers = hosts.length <= SMALL_FLEET
       ? hosts
-      : hosts.slice(0, NEWS_FANOUT);
-    for (const host of told) this.send(host, words);
-    if (memory.hasNews) {
-      this.telling = setTimeout(() => this.tell(), NEXT_TELLING_MS);
+      : hosts.slice(0, LARGE_FLEET_FANOUT);
+    for (const host of receivers) this.send(host, reports);
+    if (memory.hasPendingReports) {
+      this.batchTimer = setTimeout(() => this.sendBatch(), NEXT_BATCH_DELAY_MS);
     }
   }
 
-  private remind(): void {
+  private sendSample(): void {
     const { memory, getHosts } = this.options;
     if (memory.isEmpty) return;
     const [host] = this.random.shuffle(getHosts());
     if (host === undefined) return;
-    this.send(host, memory.getReminders(MAX_WORDS, readClock(), this.random));
+    this.send(
+      host,
+      memory.sampleReports(MAX_REPORTS_PER_MESSAGE, readClock(), this.random),
+    );
   }
 
-  private send(host: string, words: readonly CrashWord[]): void {
-    if (words.length === 0) return;
-    this.options.send(host, words);
+  private send(host: string, reports: readonly CrashWord[]): void {
+    if (reports.length === 0) return;
+    this.options.send(host, reports);
   }
 }
--- a/src/crashes/crash_guard.ts
+++ b/src/crashes/crash_guard.ts
@@ -4,54 +4,57 @@
 import {
   type CheckedUpstream,
   CrashDetector,
-  type Suspect,
+  type InterruptedRequest,
 } from "./crash_detector.ts";
-import { type CrashHold, CrashMemory } from "./crash_memory.ts";
-import { CRASH_POINTS, HOLDING_POINTS } from "./crash_record.ts";
+import { type CrashHold, CrashStore } from "./crash_memory.ts";
+import { CRASH_POINTS, HOLD_THRESHOLD_POINTS } from "./crash_record.ts";
 
-/** What the guard needs and whom it tells. */
+/** Dependencies and callbacks of `CrashGuard`. */
 export interface CrashGuardOptions {
   logger: Logger;
-  /** Writes a fingerprint for the log. */
+  /** Formats a fingerprint for logs and error details. */
   describe: (fingerprint: number) => string;
-  /** Told that there is news for other hosts. */
+  /** Called when reports are pending for other hosts. */
   onNews: () => void;
-  /** Told of a request that is held from now on; tries of it that are under way unanswered are to end. */
+  /** Called when a request is held from now on, or for longer; its attempts that are in flight and unanswered are to
+   * be ended. */
   onHeld: (fingerprint: number) => void;
-  /** Told of each upstream that crashed, by its short name, once nothing listens at its address any more. */
-  onCrash: (upstream: number) => void;
-  /** Told that another host says so of one. */
-  onRumour: (upstream: number) => void;
+  /** Called with the hash of each instance that crashed, once nothing listens at its address or it was removed from
+   * the list. */
+  onCrash: (instance: number) => void;
+  /** Called with the hash of each instance that another host newly reports to have crashed. */
+  onRumour: (instance: number) => void;
 }
 
-/** Keeps requests that crash upstreams from crashing more of them. */
+/** Prevents requests that crash upstreams from crashing more of them, by holding them back for a while. */
 export class CrashGuard {
-  /** What is remembered, from this host's attempts and other hosts' word. */
-  readonly memory: CrashMemory;
+  /** Crashes recorded from this host's attempts and other hosts' reports. */
+  readonly memory: CrashStore;
   private readonly detector: CrashDetector;
 
   private constructor(private readonly options: CrashGuardOptions) {
-    this.memory = CrashMemory.create({
-      onNews: options.onNews,
-      onCrashHeard: options.onRumour,
-      onHeld: (fingerprint, hold) => this.takeHold(fingerprint, hold),
+    this.memory = CrashStore.create({
+      onPendingReports: options.onNews,
+      onCrashReported: options.onRumour,
+      onHeld: (fingerprint, hold) => this.handleHold(fingerprint, hold),
     });
     this.detector = CrashDetector.create({
       logger: options.logger,
       onCrash: ({ shortName }) => options.onCrash(shortName),
-      onBlame: ({ shortName }, suspects) => this.blame(shortName, suspects),
+      onAffected: ({ shortName }, requests) =>
+        this.recordCrash(shortName, requests),
     });
   }
 
-  /** Creates a guard that remembers nothing.
-   * @param options What it needs. */
+  /** Creates a guard without recorded crashes.
+   * @param options Dependencies and callbacks. */
   static create(options: CrashGuardOptions): CrashGuard {
     return new CrashGuard(options);
   }
 
-  /** The refusal of a request that is held, as not run, with the time until it may be sent again; nothing where it may be
-   * sent.
-   * @param fingerprint Its fingerprint. */
+  /** Returns the failure that refuses a held request, as not run and with the time until it may be sent again;
+   * undefined if the request may be sent.
+   * @param fingerprint Fingerprint of the request. */
   findRefusal(fingerprint: number): Failure | undefined {
     const hold = this.memory.getHold(fingerprint, readClock());
     if (!hold) return undefined;
@@ -63,60 +66,63 @@
     );
   }
 
-  /** Whether a request that failed may be sent to another upstream: breaks that are not yet told from crashes count too,
-   * for the answer to that comes later than the next attempt would crash its upstream.
-   * @param fingerprint Its fingerprint. */
+  /** Whether a request that failed may be retried on another upstream. Unconfirmed crashes count too, because they are
+   * confirmed only after the next attempt could already have crashed its upstream.
+   * @param fingerprint Fingerprint of the request. */
   maySendAgain(fingerprint: number): boolean {
     const points = this.memory.getPoints(fingerprint) +
       this.detector.getPendingPoints(fingerprint);
-    return points < HOLDING_POINTS;
+    return points < HOLD_THRESHOLD_POINTS;
   }
 
-  /** Takes an attempt whose connection ended before its answer did.
-   * @param upstream Where the request was sent.
+  /** Records an attempt whose connection ended before its answer was complete.
+   * @param upstream Instance that the request was sent to.
    * @param fingerprint Fingerprint of the request.
-   * @param isAnsweredInPart Whether the attempt had brought events. */
+   * @param isPartiallyAnswered Whether the attempt had already returned events. */
   noteBroken(
     upstream: CheckedUpstream,
     fingerprint: number,
-    isAnsweredInPart: boolean,
+    isPartiallyAnswered: boolean,
   ): void {
     const points =
-      CRASH_POINTS[isAnsweredInPart ? "answeredInPart" : "unanswered"];
-    this.detector.noteBroken(upstream, { fingerprint, points });
+      CRASH_POINTS[isPartiallyAnswered ? "partiallyAnswered" : "unanswered"];
+    this.detector.recordInterruption(upstream, { fingerprint, points });
   }
 
-  /** Takes another host's word that an upstream has crashed.
-   * @param upstream The upstream. */
+  /** Checks a crash that another host reported.
+   * @param upstream Instance that is reported to have crashed. */
   noteRumour(upstream: CheckedUpstream): void {
-    this.detector.noteRumour(upstream);
+    this.detector.checkReportedCrash(upstream);
   }
 
-  /** Takes a request that an upstream ran to its end, whatever the answer.
-   * @param fingerprint Its fingerprint. */
+  /** Records that an upstream completed a request, whatever the answer.
+   * @param fingerprint Fingerprint of the request. */
   noteServed(fingerprint: number): void {
-    this.memory.noteServed(fingerprint, readClock());
+    this.memory.recordCompletion(fingerprint, readClock());
   }
 
-  /** Takes word that a start of an upstream has ended.
-   * @param upstream Short name of the start. */
-  noteGone(upstream: number): void {
-    this.detector.noteGone(upstream);
+  /** Records that an instance was removed from the list or replaced.
+   * @param instance Hash of the instance. */
+  noteGone(instance: number): void {
+    this.detector.recordRemoval(instance);
   }
 
-  /** Ends what waits. */
+  /** Stops all pending crash checks. */
   close(): void {
     this.detector.close();
   }
 
-  private blame(upstream: number, suspects: readonly Suspect[]): void {
+  private recordCrash(
+    instance: number,
+    requests: readonly InterruptedRequest[],
+  ): void {
     const now = readClock();
-    for (const { fingerprint, points } of suspects) {
-      this.memory.noteCrash(fingerprint, upstream, points, now);
+    for (const { fingerprint, points } of requests) {
+      this.memory.recordCrash(fingerprint, instance, points, now);
     }
   }
 
-  private takeHold(fingerprint: number, hold: CrashHold): void {
+  private handleHold(fingerprint: number, hold: CrashHold): void {
     const { points, remainingMs } = hold;
     this.options.logger.warn({
       fingerprint: this.options.describe(fingerprint),
--- a/src/crashes/crash_memory.ts
+++ b/src/crashes/crash_memory.ts
@@ -2,72 +2,75 @@
 import { CrashRecord } from "./crash_record.ts";
 import type { CrashWord } from "./crash_word.ts";
 
-/** Requests remembered: some kilobytes each hundred. Beyond that the oldest that is not held gives way. */
-const MAX_REQUESTS = 4_096;
-/** Time after the last crash in which a request is remembered that was ever held, in milliseconds: the longest hold, and a
- * day more. */
-const HELD_REMEMBERED_MS = 2 * 24 * 3_600_000;
-/** Time after the last crash in which any other is, in milliseconds: most of them only ran beside another. */
-const SUSPECT_REMEMBERED_MS = 3_600_000;
-/** Time after a crash in which word of it says that its upstream is likely still gone, in milliseconds. */
-const NEWS_MS = 1_000;
-/** Requests remembered that were served to their end; such a request is not blamed for a crash beside it. */
-const MAX_SERVED = 4_096;
-/** Time in which a request that was served is not blamed, in milliseconds. */
-const BLAMELESS_MS = 60_000;
-
-/** What is known against a request that is held. */
+/** Maximum number of records; a hundred of them take some kilobytes. Beyond it, the oldest one that is not held is
+ * evicted first. */
+const MAX_RECORDS = 4_096;
+/** Retention of a record that meets the hold threshold, in milliseconds after its last crash: the longest hold plus
+ * one day. */
+const HELD_RETENTION_MS = 2 * 24 * 3_600_000;
+/** Retention of any other record, in milliseconds after its last crash: most of these requests did not cause the
+ * crash but only ran on the upstream at the same time. */
+const DEFAULT_RETENTION_MS = 3_600_000;
+/** Age up to which a reported crash is checked, in milliseconds, because its upstream is likely still down. */
+const RECENT_CRASH_MS = 1_000;
+/** Maximum number of completed requests that are kept, so that no crash soon afterwards is attributed to them. */
+const MAX_COMPLETIONS = 4_096;
+/** Time after the completion of a request in which no crash is attributed to it, in milliseconds. */
+const COMPLETION_GRACE_MS = 60_000;
+
+/** State of a request that is held, that is, refused for a while because it crashes upstreams. */
 export interface CrashHold {
-  /** Points against it. */
+  /** Points of the request. */
   points: number;
-  /** Time until it may be sent again, in milliseconds. */
+  /** Time until the request may be sent again, in milliseconds. */
   remainingMs: number;
 }
 
-/** Told of changes of what is remembered. */
-export interface CrashMemoryListener {
-  /** Another host told of the crash of a start of an upstream, by its short name. */
-  onCrashHeard(upstream: number): void;
-  /** There is news for other hosts. */
-  onNews(): void;
-  /** A request is held from now on, or for longer. */
+/** Callbacks of `CrashStore`. */
+export interface CrashStoreListener {
+  /** Called with the hash of each instance that another host newly reports to have crashed. */
+  onCrashReported(instance: number): void;
+  /** Called when a report becomes pending for other hosts. */
+  onPendingReports(): void;
+  /** Called when a request is held from now on, or for longer. */
   onHeld(fingerprint: number, hold: CrashHold): void;
 }
 
-/** Remembers which requests were under way on upstreams when they crashed, whoever sent them and under which id, and holds
- * back those that do it again: each further try would cost one more upstream and all that runs on it. */
-export class CrashMemory {
+/** Records which requests were in flight on upstreams when they crashed, regardless of sender and request id, and
+ * holds those for which that is repeated: each further attempt could crash another upstream with all requests on it. */
+export class CrashStore {
   private readonly records = new Map<number, CrashRecord>();
-  /** By fingerprint, the monotonic milliseconds at which a request was last served to its end. */
-  private readonly served = new Map<number, number>();
-  private readonly untold = new Set<number>();
+  /** Monotonic milliseconds at which each request last completed, by fingerprint; the least recent first. */
+  private readonly completedAt = new Map<number, number>();
+  /** Requests whose reports were not yet sent to other hosts. */
+  private readonly pending = new Set<number>();
 
-  private constructor(private readonly listener: CrashMemoryListener) {}
+  private constructor(private readonly listener: CrashStoreListener) {}
 
-  /** Creates an empty memory.
-   * @param listener Told of changes. */
-  static create(listener: CrashMemoryListener): CrashMemory {
-    return new CrashMemory(listener);
+  /** Creates an empty store.
+   * @param listener Callbacks. */
+  static create(listener: CrashStoreListener): CrashStore {
+    return new CrashStore(listener);
   }
 
-  /** Whether there is news that other hosts were not told. */
-  get hasNews(): boolean {
-    return this.untold.size > 0;
+  /** Whether any report was not yet sent to other hosts. */
+  get hasPendingReports(): boolean {
+    return this.pending.size > 0;
   }
 
-  /** Whether anything is remembered. */
+  /** Whether the store holds no records. */
   get isEmpty(): boolean {
     return this.records.size === 0;
   }
 
-  /** Points that count against a request.
-   * @param fingerprint Its fingerprint. */
+  /** Returns the points of a request.
+   * @param fingerprint Fingerprint of the request. */
   getPoints(fingerprint: number): number {
     return this.records.get(fingerprint)?.points ?? 0;
   }
 
-  /** What is known against a request, where it is held.
-   * @param fingerprint Its fingerprint.
+  /** Returns the hold of a request, or undefined if it is not held.
+   * @param fingerprint Fingerprint of the request.
    * @param now Monotonic milliseconds. */
   getHold(fingerprint: number, now: number): CrashHold | undefined {
     const record = this.records.get(fingerprint);
@@ -75,112 +78,113 @@
     return { points: record.points, remainingMs: record.heldUntil - now };
   }
 
-  /** Records that a request was under way on a start of an upstream when that crashed, unless it was served to its end
-   * lately.
+  /** Records that a request was in flight on an instance when that crashed, unless the request completed recently.
    * @param fingerprint Fingerprint of the request.
-   * @param upstream Short name of the start.
-   * @param points Points that this counts.
+   * @param instance Hash of the instance.
+   * @param points Points that the request is given.
    * @param now Monotonic milliseconds. */
-  noteCrash(
+  recordCrash(
     fingerprint: number,
-    upstream: number,
+    instance: number,
     points: number,
     now: number,
   ): void {
-    const servedAt = this.served.get(fingerprint) ?? -Infinity;
-    if (now - servedAt < BLAMELESS_MS) return;
-    const crashes: CrashWord["crashes"] = [[upstream, points]];
-    this.take({ fingerprint, agoMs: 0, crashes, excused: [] }, now);
+    const lastCompletedAt = this.completedAt.get(fingerprint) ?? -Infinity;
+    if (now - lastCompletedAt < COMPLETION_GRACE_MS) return;
+    const crashes: CrashWord["crashes"] = [[instance, points]];
+    this.mergeReport({ fingerprint, agoMs: 0, crashes, excused: [] }, now);
   }
 
-  /** Records that a request was served to its end, which clears it of the crashes before.
+  /** Records that a request completed, which excuses its earlier crashes.
    * @param fingerprint Fingerprint of the request.
    * @param now Monotonic milliseconds. */
-  noteServed(fingerprint: number, now: number): void {
-    this.served.delete(fingerprint);
-    this.served.set(fingerprint, now);
-    if (this.served.size > MAX_SERVED) {
-      this.served.delete(this.served.keys().next().value!);
+  recordCompletion(fingerprint: number, now: number): void {
+    this.completedAt.delete(fingerprint);
+    this.completedAt.set(fingerprint, now);
+    if (this.completedAt.size > MAX_COMPLETIONS) {
+      this.completedAt.delete(this.completedAt.keys().next().value!);
     }
-    if (this.records.get(fingerprint)?.excuseAll()) this.addNews(fingerprint);
+    if (this.records.get(fingerprint)?.excuseAll()) this.enqueue(fingerprint);
   }
 
-  /** Takes over what another host tells; what is new is told on.
-   * @param words What it tells.
+  /** Merges reports from another host; those that contain anything new become pending, so that they are forwarded.
+   * @param reports The reports.
    * @param now Monotonic milliseconds. */
-  learn(words: readonly CrashWord[], now: number): void {
-    for (const word of words) {
-      if (word.agoMs >= HELD_REMEMBERED_MS) continue;
-      const isNew = this.take(word, now);
-      if (!isNew || word.agoMs > NEWS_MS) continue;
-      for (const [upstream] of word.crashes) {
-        this.listener.onCrashHeard(upstream);
+  learn(reports: readonly CrashWord[], now: number): void {
+    for (const report of reports) {
+      if (report.agoMs >= HELD_RETENTION_MS) continue;
+      const isNew = this.mergeReport(report, now);
+      if (!isNew || report.agoMs > RECENT_CRASH_MS) continue;
+      for (const [instance] of report.crashes) {
+        this.listener.onCrashReported(instance);
       }
     }
   }
 
-  /** News for other hosts, each given once; the oldest first.
-   * @param limit Most words.
+  /** Returns the pending reports, oldest first, which are then no longer pending.
+   * @param limit Maximum number of reports.
    * @param now Monotonic milliseconds. */
-  takeNews(limit: number, now: number): CrashWord[] {
-    const taken = [...this.untold].slice(0, limit);
-    for (const fingerprint of taken) this.untold.delete(fingerprint);
-    return taken.flatMap((fingerprint) =>
-      this.records.get(fingerprint)?.describe(now) ?? []
+  takePendingReports(limit: number, now: number): CrashWord[] {
+    const fingerprints = [...this.pending].slice(0, limit);
+    for (const fingerprint of fingerprints) this.pending.delete(fingerprint);
+    return fingerprints.flatMap((fingerprint) =>
+      this.records.get(fingerprint)?.toReport(now) ?? []
     );
   }
 
-  /** Part of what is remembered, for a host that may have missed it: first the requests that crash upstreams, then those that
-   * are suspected.
-   * @param limit Most words.
+  /** Returns reports of randomly chosen records, for a host that may have missed them. Records that meet the hold
+   * threshold come before all others.
+   * @param limit Maximum number of reports.
    * @param now Monotonic milliseconds.
-   * @param random Chooses where there are more. */
-  getReminders(limit: number, now: number, random: Random): CrashWord[] {
-    this.forget(now);
+   * @param random Source of the random choice. */
+  sampleReports(limit: number, now: number, random: Random): CrashWord[] {
+    this.removeExpired(now);
     const records = random.shuffle([...this.records.values()]);
-    const guilty = records.filter((record) => record.isGuilty);
-    const others = records.filter((record) => !record.isGuilty);
-    return [...guilty, ...others].slice(0, limit)
-      .map((record) => record.describe(now));
+    const above = records.filter((record) => record.meetsHoldThreshold);
+    const below = records.filter((record) => !record.meetsHoldThreshold);
+    return [...above, ...below].slice(0, limit)
+      .map((record) => record.toReport(now));
   }
 
-  /** Takes over a word; returns whether it was news. */
-  private take(word: CrashWord, now: number): boolean {
-    const { fingerprint } = word;
+  /** Merges a report; returns whether it contained anything new. */
+  private mergeReport(report: CrashWord, now: number): boolean {
+    const { fingerprint } = report;
     const record = this.records.get(fingerprint) ??
       CrashRecord.create(fingerprint);
     const before = record.heldUntil;
-    if (!record.merge(word, now)) return false;
+    if (!record.merge(report, now)) return false;
     this.records.delete(fingerprint);
     this.records.set(fingerprint, record);
-    if (this.records.size > MAX_REQUESTS) this.dropOldest(now);
-    this.addNews(fingerprint);
+    if (this.records.size > MAX_RECORDS) this.evictOldest(now);
+    this.enqueue(fingerprint);
     if (record.heldUntil <= Math.max(before, now)) return true;
     this.listener.onHeld(fingerprint, this.getHold(fingerprint, now)!);
     return true;
   }
 
-  private addNews(fingerprint: number): void {
-    this.untold.add(fingerprint);
-    this.listener.onNews();
+  private enqueue(fingerprint: number): void {
+    this.pending.add(fingerprint);
+    this.listener.onPendingReports();
   }
 
-  private dropOldest(now: number): void {
+  private evictOldest(now: number): void {
     const fingerprints = [...this.records.keys()];
-    const unheld = fingerprints.find((one) => !this.getHold(one, now));
-    const dropped = unheld ?? fingerprints[0]!;
-    this.records.delete(dropped);
-    this.untold.delete(dropped);
+    const unheld = fingerprints.find((fingerprint) =>
+      !this.getHold(fingerprint, now)
+    );
+    const evicted = unheld ?? fingerprints[0]!;
+    this.records.delete(evicted);
+    this.pending.delete(evicted);
   }
 
-  private forget(now: number): void {
+  private removeExpired(now: number): void {
     for (const [fingerprint, record] of this.records) {
-      const rememberedMs = record.isGuilty
-        ? HELD_REMEMBERED_MS
-        : SUSPECT_REMEMBERED_MS;
-      if (now - record.lastCrashAt < rememberedMs) continue;
+      const retentionMs = record.meetsHoldThreshold
+        ? HELD_RETENTION_MS
+        : DEFAULT_RETENTION_MS;
+      if (now - record.lastCrashAt < retentionMs) continue;
       this.records.delete(fingerprint);
-      this.untold.delete(fingerprint);
+      this.pending.delete(fingerprint);
     }
   }
 }
--- a/src/crashes/crash_record.ts
+++ b/src/crashes/crash_record.ts
@@ -1,27 +1,30 @@
 import type { CrashPoints, CrashWord } from "./crash_word.ts";
 
-/** Crashes of one request that are kept: more than it takes to hold the request for the longest time. */
+/** Maximum number of crashes that are kept for one request: enough to hold it for the longest time. */
 const MAX_CRASHES = 8;
-/** By the points against a request, the time from the last crash in which it is not sent, in milliseconds. Two crashes
- * before anything was answered may be chance, so that the request is tried again soon; three are not, and it is tried
- * only for a new version of the upstreams may bear it. */
-const HOLDS_MS: readonly (readonly [points: number, holdMs: number])[] = [
+/** Duration of the hold after the last crash, in milliseconds, by the minimum of points that it needs. Two crashes
+ * before any part of the answer may be coincidence, so the request may soon be sent again. Three are not, and it may
+ * be sent again only because a new version of the upstreams might no longer crash on it. */
+const HOLD_TIERS: readonly (readonly [points: number, holdMs: number])[] = [
   [4, 30_000],
   [5, 300_000],
   [6, 3_600_000],
   [7, 6 * 3_600_000],
   [8, 24 * 3_600_000],
 ];
-/** Points that a crash counts for a request of which nothing was answered, and for one that had been answered in part, which
- * had run for a while without harm. */
-export const CRASH_POINTS = { unanswered: 2, answeredInPart: 1 } as const;
-/** Points from which a request is held. */
-export const HOLDING_POINTS = HOLDS_MS[0]![0];
+/** Points that a request is given for a crash: fewer if it was already partially answered, since it had then run for
+ * a while without a crash. */
+export const CRASH_POINTS = { unanswered: 2, partiallyAnswered: 1 } as const;
+/** Minimum of points for which a request is held. */
+export const HOLD_THRESHOLD_POINTS = HOLD_TIERS[0]![0];
 
-/** What is remembered of one request that was under way on upstreams when they crashed. Merging two records takes the union
- * of what they say, so that hosts come to the same whatever the order in which they hear. */
+/** The recorded crashes of one request that was in flight on upstreams when they crashed. Merging takes the union of
+ * crashes and excuses, so that hosts converge to the same points regardless of the order in which they receive
+ * reports. */
 export class CrashRecord {
+  /** Points of each crash, by the hash of the instance. */
   private readonly crashes = new Map<number, number>();
+  /** Hashes of the instances whose crash no longer counts. */
   private readonly excused = new Set<number>();
   private crashedAt = -Infinity;
 
@@ -33,18 +36,18 @@
     return new CrashRecord(fingerprint);
   }
 
-  /** Points that count against the request. */
+  /** Sum of the points of all crashes that are not excused. */
   get points(): number {
     return [...this.crashes].reduce(
-      (sum, [upstream, points]) =>
-        this.excused.has(upstream) ? sum : sum + points,
+      (sum, [instance, points]) =>
+        this.excused.has(instance) ? sum : sum + points,
       0,
     );
   }
 
-  /** Whether the crashes are more than chance. */
-  get isGuilty(): boolean {
-    return this.points >= HOLDING_POINTS;
+  /** Whether the points meet the threshold for a hold; the hold itself may be over. */
+  get meetsHoldThreshold(): boolean {
+    return this.points >= HOLD_THRESHOLD_POINTS;
   }
 
   /** Monotonic milliseconds of the last crash. */
@@ -52,36 +55,37 @@
     return this.crashedAt;
   }
 
-  /** Monotonic milliseconds up to which the request is not sent; in the past where it is. */
+  /** Monotonic milliseconds until which the request is held; in the past if it may be sent. */
   get heldUntil(): number {
     const { points } = this;
-    const holdMs = HOLDS_MS.findLast(([least]) => points >= least)?.[1];
+    const holdMs = HOLD_TIERS.findLast(([minimum]) => points >= minimum)?.[1];
     return holdMs === undefined ? -Infinity : this.crashedAt + holdMs;
   }
 
-  /** Takes over what a word says; returns whether any of it was new.
-   * @param word The word, of the same request.
+  /** Merges a report; returns whether it contained anything new.
+   * @param report Report about the same request.
    * @param now Monotonic milliseconds. */
-  merge(word: CrashWord, now: number): boolean {
-    const crashes = word.crashes.map((crash) => this.addCrash(crash));
-    const excuses = word.excused.map((upstream) => this.excuse(upstream));
+  merge(report: CrashWord, now: number): boolean {
+    const crashes = report.crashes.map((crash) => this.addCrash(crash));
+    const excuses = report.excused.map((instance) => this.excuse(instance));
     const hasCrashNews = crashes.includes(true);
-    // Only for news: a word grows younger on each way, and what hosts tell each other to and fro would never age.
+    // Only for new crashes: `agoMs` leaves out the transit time, so a report gets younger on each hop, and crashes that
+    // hosts report back and forth would never age.
     if (hasCrashNews) {
-      this.crashedAt = Math.max(this.crashedAt, now - word.agoMs);
+      this.crashedAt = Math.max(this.crashedAt, now - report.agoMs);
     }
     return hasCrashNews || excuses.includes(true);
   }
 
-  /** Excuses all crashes, for the request was served to its end; returns whether any had counted. */
+  /** Excuses all crashes, because the request completed after them; returns whether any had counted. */
   excuseAll(): boolean {
-    return [...this.crashes.keys()].map((upstream) => this.excuse(upstream))
+    return [...this.crashes.keys()].map((instance) => this.excuse(instance))
       .includes(true);
   }
 
-  /** What another host is told.
+  /** Returns the report of this record for other hosts.
    * @param now Monotonic milliseconds. */
-  describe(now: number): CrashWord {
+  toReport(now: number): CrashWord {
     return {
       fingerprint: this.fingerprint,
       agoMs: Math.max(0, now - this.crashedAt),
@@ -90,19 +94,19 @@
     };
   }
 
-  private addCrash([upstream, points]: CrashPoints): boolean {
-    const known = this.crashes.get(upstream) ?? 0;
-    if (known >= points) return false;
-    if (known === 0 && this.crashes.size >= MAX_CRASHES) return false;
-    this.crashes.set(upstream, points);
+  private addCrash([instance, points]: CrashPoints): boolean {
+    const recordedPoints = this.crashes.get(instance) ?? 0;
+    if (recordedPoints >= points) return false;
+    if (recordedPoints === 0 && this.crashes.size >= MAX_CRASHES) return false;
+    this.crashes.set(instance, points);
     return true;
   }
 
-  private excuse(upstream: number): boolean {
-    if (this.excused.has(upstream) || this.excused.size >= MAX_CRASHES) {
+  private excuse(instance: number): boolean {
+    if (this.excused.has(instance) || this.excused.size >= MAX_CRASHES) {
       return false;
     }
-    this.excused.add(upstream);
+    this.excused.add(instance);
     return true;
   }
 }
--- a/src/crashes/crash_word.ts
+++ b/src/crashes/crash_word.ts
@@ -1,27 +1,27 @@
 import { z } from "zod";
 
-/** What hosts tell each other of one request that was under way on upstreams when they crashed. */
+/** Schema of a crash report. */
 export const crashWordSchema = z.object({
   /** Fingerprint of the request. */
   fingerprint: z.number().int(),
-  /** Milliseconds since the last crash. */
+  /** Milliseconds since the last crash when the report was sent. */
   agoMs: z.number().min(0),
   /** Each a `CrashPoints`. */
   crashes: z.array(z.tuple([z.number().int(), z.number().positive()])),
-  /** Short names of the starts whose crash no longer counts, for the request was served to its end after it. */
+  /** Hashes of the instances whose crash no longer counts, because the request completed after it. */
   excused: z.array(z.number().int()),
 });
 
-/** What hosts tell each other of one request and the crashes it was part of. */
+/** A report from one host to another about the crashes of upstreams on which one request was in flight. */
 export type CrashWord = z.infer<typeof crashWordSchema>;
 
-/** That a request was under way on a start of an upstream when that crashed: short name of the start, and the points that
- * this counts. */
+/** A crash of an instance on which a request was in flight: the hash of the instance and the points that the request is
+ * given. */
 export type CrashPoints = CrashWord["crashes"][number];
 
 const { fingerprint, agoMs, crashes, excused } = crashWordSchema.shape;
 
-/** The same as a list, for field names would be half of a datagram. */
+/** Schema of a crash report as a list, because field names would take up half of a datagram. */
 export const crashWordListSchema = z.tuple([
   fingerprint,
   agoMs,
@@ -34,10 +34,15 @@
   excused: list[3],
 }));
 
-/** Writes a word as the list that `crashWordListSchema` reads.
- * @param word The word. */
+/** Packs a crash report as a list, the reverse of `crashWordListSchema`.
+ * @param report The report. */
 export function packCrashWord(
-  word: CrashWord,
+  report: CrashWord,
 ): z.input<typeof crashWordListSchema> {
-  return [word.fingerprint, Math.round(word.agoMs), word.crashes, word.excused];
+  return [
+    report.fingerprint,
+    Math.round(report.agoMs),
+    report.crashes,
+    report.excused,
+  ];
 }
--- a/tests/crashes/crash_detector_test.ts
+++ b/tests/crashes/crash_detector_test.ts
@@ -6,7 +6,7 @@
 import { CrashDetector } from "../../src/crashes/crash_detector.ts";
 import type {
   CheckedUpstream,
-  Suspect,
+  InterruptedRequest,
 } from "../../src/crashes/crash_detector.ts";
 import {
   checkConnection,
@@ -22,75 +22,79 @@
   isEndExpected: false,
 };
 
-function suspect(fingerprint: number): Suspect {
+/** Builds a request that was interrupted before any part of its answer. */
+function interrupt(fingerprint: number): InterruptedRequest {
   return { fingerprint, points: 2 };
 }
 
-/** A detector whose checks are answered by the test. */
+/** Creates a detector whose connection checks are completed by the test. */
 function createDetector() {
-  const blamed: number[] = [];
+  const affected: number[] = [];
   const crashes: number[] = [];
-  const checked = createDeferred<CheckResult>();
+  const deferredResult = createDeferred<CheckResult>();
   const detector = CrashDetector.create({
     logger: pino({ level: "silent" }),
     onCrash: () => crashes.push(performance.now()),
-    onBlame: (_upstream, suspects) =>
-      blamed.push(...suspects.map(({ fingerprint }) => fingerprint)),
-    check: () => checked.promise,
+    onAffected: (_upstream, requests) =>
+      affected.push(...requests.map(({ fingerprint }) => fingerprint)),
+    check: () => deferredResult.promise,
   });
-  const answer = async (result: CheckResult) => {
-    checked.resolve(result);
-    await checked.promise;
+  const completeCheck = async (result: CheckResult) => {
+    deferredResult.resolve(result);
+    await deferredResult.promise;
     await Promise.resolve();
   };
-  return { detector, blamed, crashes, answer };
+  return { detector, affected, crashes, completeCheck };
 }
 
-test("all requests on an upstream are blamed once nothing listens at its address, also those that break later", async (t) => {
-  const { detector, blamed, crashes, answer } = createDetector();
-  detector.noteBroken(UPSTREAM, suspect(1));
-  detector.noteBroken(UPSTREAM, suspect(2));
-  detector.noteBroken(UPSTREAM, suspect(2));
-  t.deepEqual(blamed, []);
+test("a crash is attributed to all requests on the upstream once nothing listens at its address, also to those interrupted later", async (t) => {
+  const { detector, affected, crashes, completeCheck } = createDetector();
+  detector.recordInterruption(UPSTREAM, interrupt(1));
+  detector.recordInterruption(UPSTREAM, interrupt(2));
+  detector.recordInterruption(UPSTREAM, interrupt(2));
+  t.deepEqual(affected, []);
   t.is(detector.getPendingPoints(2), 2);
-  await answer("refused");
-  t.deepEqual(blamed, [1, 2, 2]);
+  await completeCheck("refused");
+  t.deepEqual(affected, [1, 2, 2]);
   t.is(detector.getPendingPoints(2), 0);
-  detector.noteBroken(UPSTREAM, suspect(3));
-  t.deepEqual(blamed, [1, 2, 2, 3]);
+  detector.recordInterruption(UPSTREAM, interrupt(3));
+  t.deepEqual(affected, [1, 2, 2, 3]);
   t.is(crashes.length, 1);
   detector.close();
 });
 
-test("a connection that was cut while its upstream lives on blames nobody", async (t) => {
-  const { detector, blamed, answer } = createDetector();
-  detector.noteBroken(UPSTREAM, suspect(1));
-  await answer("taken");
-  t.deepEqual(blamed, []);
+test("a connection closed by an upstream that keeps running is not a crash", async (t) => {
+  const { detector, affected, completeCheck } = createDetector();
+  detector.recordInterruption(UPSTREAM, interrupt(1));
+  await completeCheck("taken");
+  t.deepEqual(affected, []);
   t.is(detector.getPendingPoints(1), 0);
   detector.close();
 });
 
-test("the end of an upstream that leaves blames nobody", async (t) => {
-  const { detector, blamed, answer } = createDetector();
-  detector.noteBroken({ ...UPSTREAM, isEndExpected: true }, suspect(1));
-  await answer("refused");
-  t.deepEqual(blamed, []);
+test("the end of an upstream that is leaving is not a crash", async (t) => {
+  const { detector, affected, completeCheck } = createDetector();
+  detector.recordInterruption(
+    { ...UPSTREAM, isEndExpected: true },
+    interrupt(1),
+  );
+  await completeCheck("refused");
+  t.deepEqual(affected, []);
   detector.close();
 });
 
-test("an upstream out of reach has crashed once it is gone from the list", async (t) => {
-  const { detector, blamed, answer } = createDetector();
-  detector.noteBroken(UPSTREAM, suspect(1));
-  await answer("undecided");
-  t.deepEqual(blamed, []);
-  detector.noteGone(UPSTREAM.shortName);
-  detector.noteGone(UPSTREAM.shortName);
-  t.deepEqual(blamed, [1]);
+test("an unreachable upstream has crashed once it is removed from the list", async (t) => {
+  const { detector, affected, completeCheck } = createDetector();
+  detector.recordInterruption(UPSTREAM, interrupt(1));
+  await completeCheck("undecided");
+  t.deepEqual(affected, []);
+  detector.recordRemoval(UPSTREAM.shortName);
+  detector.recordRemoval(UPSTREAM.shortName);
+  t.deepEqual(affected, [1]);
   detector.close();
 });
 
-test("a check tells an address that takes connections from one where nothing listens", async (t) => {
+test("a check distinguishes an address that accepts connections from one where nothing listens", async (t) => {
   const server = createServer((socket) => socket.destroy());
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -106,19 +110,19 @@
   t.pass();
 });
 
-test("another host's word of a crash is believed where nothing listens, and blames nobody", async (t) => {
+test("a crash reported by another host is confirmed if nothing listens, and attributed to no request", async (t) => {
   for (const [result, expected] of [["refused", 1], ["taken", 0]] as const) {
-    const told: string[] = [];
+    const crashed: string[] = [];
     const detector = CrashDetector.create({
       logger: pino({ level: "silent" }),
-      onCrash: ({ id }) => told.push(id),
-      onBlame: () => t.fail("nobody is to be blamed"),
+      onCrash: ({ id }) => crashed.push(id),
+      onAffected: () => t.fail("the crash was attributed to a request"),
       check: () => Promise.resolve(result),
     });
-    detector.noteRumour(UPSTREAM);
-    detector.noteRumour(UPSTREAM);
+    detector.checkReportedCrash(UPSTREAM);
+    detector.checkReportedCrash(UPSTREAM);
     await new Promise((resolve) => setImmediate(resolve));
-    t.is(told.length, expected);
+    t.is(crashed.length, expected);
     detector.close();
   }
 });
--- a/tests/crashes/crash_gossip_test.ts
+++ b/tests/crashes/crash_gossip_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { CrashMemory } from "../../src/crashes/crash_memory.ts";
+import { CrashStore } from "../../src/crashes/crash_memory.ts";
 import { CrashGossip } from "../../src/crashes/crash_gossip.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { type TestSocket, withSockets } from "../peers/with_sockets.ts";
@@ -7,7 +7,7 @@
 const REQUEST = 0xc0ffee123456;
 
 interface TestHost {
-  memory: CrashMemory;
+  crashStore: CrashStore;
   gossip: CrashGossip;
 }
 
@@ -16,28 +16,29 @@
   sockets: readonly TestSocket[],
 ): TestHost {
   let gossip: CrashGossip | undefined = undefined;
-  const memory = CrashMemory.create({
-    onCrashHeard: () => undefined,
-    onNews: () => gossip?.announce(),
+  const crashStore = CrashStore.create({
+    onCrashReported: () => undefined,
+    onPendingReports: () => gossip?.announce(),
     onHeld: () => undefined,
   });
   socket.handle(
     "crash_words",
-    ({ words }) => memory.learn(words, performance.now()),
+    ({ words }) => crashStore.learn(words, performance.now()),
   );
   gossip = CrashGossip.create({
-    memory,
-    send: (host, words) => socket.send(host, { type: "crash_words", words }),
+    memory: crashStore,
+    send: (host, reports) =>
+      socket.send(host, { type: "crash_words", words: reports }),
     getHosts: () =>
       sockets.map((other) => other.address).filter((other) =>
         other !== address
       ),
   });
-  return { memory, gossip };
+  return { crashStore, gossip };
 }
 
-function isHeld({ memory }: TestHost): boolean {
-  return memory.getHold(REQUEST, performance.now()) !== undefined;
+function isHeld({ crashStore }: TestHost): boolean {
+  return crashStore.getHold(REQUEST, performance.now()) !== undefined;
 }
 
 async function withHosts(
@@ -57,22 +58,22 @@
 }
 
 for (const count of [4, 40]) {
-  test(`crashes that two of ${count} hosts saw hold the request on all`, async (t) => {
+  test(`crashes recorded by two of ${count} hosts hold the request on all of them`, async (t) => {
     await withHosts(count, async (hosts) => {
-      hosts[0]!.memory.noteCrash(REQUEST, 1, 2, performance.now());
-      hosts[1]!.memory.noteCrash(REQUEST, 2, 2, performance.now());
-      await waitUntil("all hold it", () => hosts.every(isHeld));
+      hosts[0]!.crashStore.recordCrash(REQUEST, 1, 2, performance.now());
+      hosts[1]!.crashStore.recordCrash(REQUEST, 2, 2, performance.now());
+      await waitUntil("all hosts hold it", () => hosts.every(isHeld));
       t.pass();
     });
   });
 
-  test(`one of ${count} hosts that starts later learns what is remembered`, async (t) => {
+  test(`a host of ${count} that starts later receives the earlier reports`, async (t) => {
     await withHosts(count, async (hosts, startLater) => {
-      hosts[0]!.memory.noteCrash(REQUEST, 1, 2, performance.now());
-      hosts[0]!.memory.noteCrash(REQUEST, 2, 2, performance.now());
-      await waitUntil("all hold it", () => hosts.every(isHeld));
-      const late = startLater();
-      await waitUntil("the late one holds it", () => isHeld(late));
+      hosts[0]!.crashStore.recordCrash(REQUEST, 1, 2, performance.now());
+      hosts[0]!.crashStore.recordCrash(REQUEST, 2, 2, performance.now());
+      await waitUntil("all hosts hold it", () => hosts.every(isHeld));
+      const lateHost = startLater();
+      await waitUntil("the late host holds it", () => isHeld(lateHost));
       t.pass();
     });
   });
