--- a/src/crashes/crash_word.ts
+++ b/src/crashes/crash_word.ts
@@ -34,7 +34,7 @@
   excused: list[3],
 }));
 
-/** Packs a crash report as a list, the reverse of `crashWordListSchema`.
+/** Packs a crash report as the list that the schema above reads.
  * @param report The report. */
 export function packCrashWord(
   report: CrashWord,
--- a/src/membership/probe_round.ts
+++ b/src/membership/probe_round.ts
@@ -4,7 +4,7 @@
   type Timeline,
 } from "../clock/timeline.ts";
 
-/** Callbacks of `ProbeRound`. */
+/** Callbacks of a prober. */
 export interface ProbeRoundOptions {
   /** Sends a ping to the target. */
   sendPing: (target: string, nonce: number) => void;
--- a/tests/crashes/crash_memory_test.ts
+++ b/tests/crashes/crash_memory_test.ts
@@ -10,13 +10,13 @@
 
 function createStore() {
   const held: number[] = [];
-  const reported: number[] = [];
+  const heard: number[] = [];
   const store = CrashStore.create({
-    onCrashReported: (instance) => reported.push(instance),
+    onCrashReported: (instance) => heard.push(instance),
     onPendingReports: () => undefined,
     onHeld: (fingerprint) => held.push(fingerprint),
   });
-  return { store, held, reported };
+  return { store, held, heard };
 }
 
 /** Returns the reports of all records, after those that have expired are removed. */
@@ -85,12 +85,12 @@
 });
 
 test("a reported crash is passed to the listener once, and only while it is recent", (t) => {
-  const { store, reported } = createStore();
+  const { store, heard } = createStore();
   const report = { fingerprint: REQUEST, agoMs: 10, excused: [] };
   store.learn([{ ...report, crashes: [[1, 2]] }], 0);
   store.learn([{ ...report, crashes: [[1, 2]] }], 0);
   store.learn([{ ...report, crashes: [[2, 2]], agoMs: 60 * SECOND_MS }], 0);
-  t.deepEqual(reported, [1]);
+  t.deepEqual(heard, [1]);
 });
 
 test("the age in a report counts towards the hold and the retention, so that no record is kept forever", (t) => {
