--- a/src/admission/start_admission.ts
+++ b/src/admission/admission_controller.ts
@@ -1,13 +1,13 @@
 import type { Random } from "../random/random.ts";
 import type { ArrivalRate } from "./arrival_rate.ts";
-import { PromptPopularity } from "./popularity.ts";
+import { PromptPopularity } from "./prompt_popularity.ts";
 import { ResidenceTime } from "./residence_time.ts";
 import {
   computeAdmissionProbability,
   computeCompletedFraction,
   computeHeadroom,
   type UpstreamLoad,
-} from "./start_probability.ts";
+} from "./admission_probability.ts";
 import { getOrCreateLruEntry } from "./lru_entry.ts";
 
 /** Maximum number of tracked services, and of tracked routes. Bounded because routes come and go with each
@@ -34,7 +34,7 @@
 
 /** Decides whether this host may start a request on an upstream. Hosts decide concurrently, without knowing which
  * requests the others are starting, and together have to keep the upstream within its load bound. */
-export class StartAdmission {
+export class AdmissionController {
   private readonly popularity = PromptPopularity.create();
   /** Residence times of requests, by service and by route. */
   private readonly services = new Map<string, ResidenceTime>();
@@ -44,8 +44,8 @@
 
   /** Creates a controller without recorded requests.
    * @param random Random source of the admission decisions. */
-  static create(random: Random): StartAdmission {
-    return new StartAdmission(random);
+  static create(random: Random): AdmissionController {
+    return new AdmissionController(random);
   }
 
   /** Records a request for a prompt and returns whether the prompt was popular before this request.
@@ -59,7 +59,7 @@
    * @param service Name of the service.
    * @param route Name of the route.
    * @param durationMs Duration in milliseconds. */
-  noteCompleted(service: string, route: string, durationMs: number): void {
+  recordCompletion(service: string, route: string, durationMs: number): void {
     getResidenceTime(this.services, service).recordDuration(durationMs);
     getResidenceTime(this.routes, route).recordDuration(durationMs);
   }
--- a/src/crashes/crash_detector.ts
+++ b/src/crashes/crash_detector.ts
@@ -10,7 +10,7 @@
   /** Id of the upstream, for the log. */
   readonly id: string;
   /** Hash that identifies the instance in messages between hosts. */
-  readonly shortName: number;
+  readonly instanceHash: number;
   /** Address, as ip:port. */
   readonly address: string;
   /** Whether the upstream is leaving or was removed from the list, so that its end is not a crash. */
@@ -69,7 +69,7 @@
     request: InterruptedRequest,
   ): void {
     if (upstream.isEndExpected) return;
-    const crash = this.crashes.get(upstream.shortName);
+    const crash = this.crashes.get(upstream.instanceHash);
     if (crash?.isConfirmed) return this.options.onAffected(upstream, [request]);
     if (crash) crash.requests.push(request);
     else this.startCheck(upstream, [request]);
@@ -89,7 +89,7 @@
    * @param upstream Instance that is reported to have crashed. */
   checkReportedCrash(upstream: CheckedUpstream): void {
     if (upstream.isEndExpected) return;
-    if (!this.crashes.has(upstream.shortName)) this.startCheck(upstream, []);
+    if (!this.crashes.has(upstream.instanceHash)) this.startCheck(upstream, []);
   }
 
   /** Records that an instance was removed from the list or replaced, which confirms a suspected crash.
@@ -115,7 +115,7 @@
       isConfirmed: false,
       timer: undefined,
     };
-    this.crashes.set(upstream.shortName, crash);
+    this.crashes.set(upstream.instanceHash, crash);
     void this.check(crash);
   }
 
@@ -123,7 +123,7 @@
     const { upstream } = crash;
     const check = this.options.check ?? checkConnection;
     const result = await check(upstream.address);
-    if (this.crashes.get(upstream.shortName) !== crash) return;
+    if (this.crashes.get(upstream.instanceHash) !== crash) return;
     if (result === "refused") return this.confirm(crash);
     if (result === "taken") return this.dismiss(crash, result);
     crash.timer = setTimeout(
@@ -149,7 +149,7 @@
   private dismiss(crash: SuspectedCrash, result: CheckResult): void {
     const { upstream, requests, isConfirmed } = crash;
     if (isConfirmed) return;
-    this.crashes.delete(upstream.shortName);
+    this.crashes.delete(upstream.instanceHash);
     this.options.logger.info(
       { upstream: upstream.id, requests: requests.length, check: result },
       "upstream_not_crashed",
@@ -159,7 +159,7 @@
   /** Keeps a confirmed crash for a while, so that it is also attributed to requests whose connections end a little
    * later. */
   private scheduleRemoval(crash: SuspectedCrash): void {
-    const { shortName } = crash.upstream;
+    const { instanceHash: shortName } = crash.upstream;
     crash.timer = setTimeout(
       () => this.crashes.delete(shortName),
       SUSPECTED_CRASH_RETENTION_MS,
--- a/src/crashes/crash_guard.ts
+++ b/src/crashes/crash_guard.ts
@@ -40,8 +40,8 @@
     });
     this.detector = CrashDetector.create({
       logger: options.logger,
-      onCrash: ({ shortName }) => options.onCrash(shortName),
-      onAffected: ({ shortName }, requests) =>
+      onCrash: ({ instanceHash: shortName }) => options.onCrash(shortName),
+      onAffected: ({ instanceHash: shortName }, requests) =>
         this.recordCrash(shortName, requests),
     });
   }
--- a/src/entry/record_attempt.ts
+++ b/src/entry/record_attempt.ts
@@ -38,7 +38,7 @@
 ): CheckedUpstream {
   return {
     id,
-    shortName: hashText(id),
+    instanceHash: hashText(id),
     address: `${address}:${port}`,
     isEndExpected: state === "leaving",
   };
--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -90,7 +90,7 @@
     customer: holder?.name,
     urgency: computeUrgency(route, holder),
     sharedParts: sharedParts.map(({ id, tokens }) => ({
-      name: PrefixIndex.nameOf(id),
+      name: PrefixIndex.hashPartId(id),
       tokens,
     })),
     receivedAt,
--- a/src/forward/attempt.ts
+++ b/src/forward/attempt.ts
@@ -1,6 +1,6 @@
 import type { Dispatcher } from "undici";
 import { readClock } from "../clock/clock.ts";
-import type { Channel } from "../upstreams/channel.ts";
+import type { UpstreamConnection } from "../upstreams/upstream_connection.ts";
 import { closeAfterDeclineWindow } from "../upstreams/decline_window.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
 import type { AnswerHeaders, HeaderCodec } from "./caller_headers.ts";
@@ -40,7 +40,7 @@
 
 /** One attempt to send a request to one upstream, until the response ends or the attempt fails. */
 export class Attempt {
-  private readonly channel: Channel;
+  private readonly channel: UpstreamConnection;
   /** Monotonic milliseconds at which the first byte left this host. */
   private sentAt: number | undefined;
   private hasHead = false;
@@ -59,7 +59,7 @@
     private readonly codec: HeaderCodec,
     private readonly listener: AttemptListener,
   ) {
-    this.channel = upstream.channels.take();
+    this.channel = upstream.connections.acquire();
     upstream.ownRequests += 1;
     this.isTrial = upstream.availability.beginRequest();
   }
@@ -131,7 +131,7 @@
           onResponseStart: (_controller, status, headers) =>
             this.onHead(status, headers, requestId),
           onResponseData: (_controller, bytes) => {
-            this.upstream.heardAt = readClock();
+            this.upstream.lastReceivedAt = readClock();
             if (!this.isFinished) this.listener.onBytes(bytes);
           },
           onResponseEnd: () => this.onEnd(),
@@ -147,7 +147,7 @@
    * accepts requests. */
   private onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.upstream.availability.takesRequests(readClock())) {
+    if (this.upstream.availability.acceptsRequests(readClock())) {
       this.sentAt = readClock();
       return;
     }
@@ -161,14 +161,14 @@
     requestId: string,
   ): void {
     const now = readClock();
-    this.upstream.heardAt = now;
+    this.upstream.lastReceivedAt = now;
     if (status < 200 || this.isFinished) return;
     const response = this.codec.readAnswer(status, headers);
     // Another upstream that now has this address reports only its own availability.
     if (!response.isOtherUpstream) {
-      this.upstream.availability.note(response.availability, now);
+      this.upstream.availability.recordNotice(response.availability, now);
     }
-    if (!response.isNotRun) this.upstream.availability.noteTaken();
+    if (!response.isNotRun) this.upstream.availability.recordAccepted();
     this.endTrial(!response.isNotRun);
     if (response.load) {
       const requests = response.load.running + response.load.waiting;
@@ -191,7 +191,7 @@
   private onEnd(): void {
     if (this.channel.wasReset) return this.fail("reset within the answer");
     if (!this.finish()) return;
-    if (this.isReusable) this.upstream.channels.giveBack(this.channel);
+    if (this.isReusable) this.upstream.connections.release(this.channel);
     else this.channel.close();
     this.listener.onEnd();
   }
--- a/src/forward/call_log.ts
+++ b/src/forward/call_log.ts
@@ -1,6 +1,6 @@
 import { readClock } from "../clock/clock.ts";
 import type { Logger } from "../logging/logger.ts";
-import { describeFingerprint } from "../hashing/request_fingerprint.ts";
+import { formatFingerprint } from "../hashing/request_fingerprint.ts";
 import type { AvailabilityNotice } from "../upstreams/availability_notice.ts";
 import type { UpstreamChoice } from "../upstreams/choose_upstream.ts";
 import type { LoadSnapshot } from "../upstreams/load_snapshot.ts";
@@ -61,7 +61,7 @@
     const { availability } = upstream;
     this.logger.info({
       request: this.call.requestId,
-      fingerprint: describeFingerprint(this.call.fingerprint),
+      fingerprint: formatFingerprint(this.call.fingerprint),
       bodyBytes: this.call.body?.length ?? 0,
       upstream: upstream.id,
       reason,
--- a/src/forward/call_run.ts
+++ b/src/forward/call_run.ts
@@ -206,7 +206,7 @@
     headers: AnswerHeaders,
   ): void {
     if (headers.isOtherUpstream) this.context.noteMoved(upstream);
-    else upstream.availability.noteFull(readClock());
+    else upstream.availability.recordDecline(readClock());
     const { availability } = headers;
     this.log.logDeclined(upstream, status, availability, this.progress);
   }
--- a/src/forward/call_run_context.ts
+++ b/src/forward/call_run_context.ts
@@ -1,5 +1,5 @@
 import type { Logger } from "../logging/logger.ts";
-import type { HealthSign } from "../upstreams/upstream_health.ts";
+import type { HealthSignal } from "../upstreams/upstream_health.ts";
 import type { UpstreamChoice } from "../upstreams/choose_upstream.ts";
 import type { LoadSnapshot } from "../upstreams/load_snapshot.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
@@ -37,7 +37,7 @@
   /** Takes a retry from the budget of a service; returns whether one was left. */
   spendRetry: (service: string) => boolean;
   /** Records what an attempt shows about the health of its upstream. */
-  noteHealth: (upstream: Upstream, sign: HealthSign) => void;
+  noteHealth: (upstream: Upstream, sign: HealthSignal) => void;
   /** Records that the address of an upstream now belongs to another one. */
   noteMoved: (upstream: Upstream) => void;
 }
--- a/src/forward/is_dear_to_reread.ts
+++ b/src/forward/is_dear_to_reread.ts
@@ -1,4 +1,4 @@
-import { estimateReadingMs } from "../upstreams/prefix_index.ts";
+import { estimatePrefillMs } from "../upstreams/prefix_index.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
 /** Fraction of a route's objective. An overdue request is sent elsewhere only if the prefill of its shared prompt parts
@@ -11,6 +11,6 @@
 export function isPrefillCostly(
   { sharedParts, route }: RoutedCall,
 ): boolean {
-  return estimateReadingMs(sharedParts) >
+  return estimatePrefillMs(sharedParts) >
     route.objectiveMs * CHEAP_PREFILL_RATIO;
 }
--- a/src/forward/routed_call.ts
+++ b/src/forward/routed_call.ts
@@ -1,5 +1,5 @@
 import type { Route } from "../published/configuration_schema.ts";
-import type { SentPart } from "../upstreams/prefix_index.ts";
+import type { HashedPromptPart } from "../upstreams/prefix_index.ts";
 import type { CallerHeaders } from "./caller_headers.ts";
 
 /** A request that was read, matched with a route and admitted. */
@@ -21,7 +21,7 @@
   /** Priority class; 0 is the most urgent. */
   urgency: number;
   /** The prompt parts that other requests may share, in order; empty if there are none. */
-  sharedParts: readonly SentPart[];
+  sharedParts: readonly HashedPromptPart[];
   /** Monotonic time at which the request arrived, in milliseconds. */
   receivedAt: number;
   /** Monotonic time until which the caller waits, in milliseconds; infinity if it gives no deadline. */
--- a/src/forward/silence_watch.ts
+++ b/src/forward/silence_watch.ts
@@ -105,7 +105,7 @@
 
   private measureSilence(): Silence {
     const isLikelyStuck = this.upstream.health.isSuspect ||
-      this.upstream.heardAt <= this.lastBytesAt;
+      this.upstream.lastReceivedAt <= this.lastBytesAt;
     return { silentMs: readClock() - this.lastBytesAt, isLikelyStuck };
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,7 +1,7 @@
 import { CrashGuard } from "../crashes/crash_guard.ts";
 import { watchClock } from "../clock/clock.ts";
 import type { HeaderCodec } from "../forward/caller_headers.ts";
-import { describeFingerprint } from "../hashing/request_fingerprint.ts";
+import { formatFingerprint } from "../hashing/request_fingerprint.ts";
 import { CallServer } from "../forward/call_server.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { PeerEntry } from "../peers/gossip_schema.ts";
@@ -180,7 +180,7 @@
   private createGuard(): CrashGuard {
     return CrashGuard.create({
       logger: this.logger,
-      describe: describeFingerprint,
+      describe: formatFingerprint,
       onNews: () => this.peerNetwork?.announceCrashes(),
       onHeld: (fingerprint) => this.handler.endHeldRuns(fingerprint),
       onCrash: (upstream) => {
@@ -188,7 +188,7 @@
         this.chooser.markCrashed(upstream);
       },
       onRumour: (upstream) => {
-        const known = this.chooser.upstreams.findByShortName(upstream);
+        const known = this.chooser.upstreams.findByInstanceHash(upstream);
         if (known) this.guard.noteRumour(known);
       },
     });
@@ -205,7 +205,7 @@
       onPrefixUpdates: () => this.peerNetwork?.announcePrefixUpdates(),
       onRestart: (before) => this.handler.failAttemptsOn(before),
       onAvailability: (change) => this.metrics.recordAvailability(change),
-      onDrop: ({ shortName }) => this.guard.noteGone(shortName),
+      onDrop: ({ instanceHash: shortName }) => this.guard.noteGone(shortName),
       onSend: ({ basis }, { countAgeMs }) =>
         this.metrics.recordSend(basis, countAgeMs),
       onHealthSignal: (sign) => this.metrics.recordAttempt(sign),
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -111,7 +111,7 @@
   /** Announces soon to other hosts which engines were sent which prompt parts. */
   announcePrefixUpdates(): void {
     if (this.gossip.isLargeFleet) {
-      this.directory.tell(this.options.chooser.prefixes.takeAllFacts());
+      this.directory.tell(this.options.chooser.prefixes.takeAllUpdates());
     } else this.gossip.announce();
   }
 
@@ -142,9 +142,9 @@
       hall: getSettings().hall,
       getSeeds: () => getSettings().seedAddresses,
       describeSelf: () => this.describeSelf(),
-      takeFacts: () => prefixes.takeFacts(),
-      hasFacts: () => prefixes.hasUntold,
-      onFacts: (facts) => prefixes.learn(facts, readClock()),
+      takeFacts: () => prefixes.takeUpdates(),
+      hasFacts: () => prefixes.hasPendingUpdates,
+      onFacts: (facts) => prefixes.applyUpdates(facts, readClock()),
       onEntry: (entry, heardAt, askedAt) =>
         this.handleEntry(entry, heardAt, askedAt),
       readHosts: (host, done) => void this.hostExchange.fetch(host).then(done),
@@ -183,7 +183,7 @@
       hall,
       phase: getPhase(),
       ...this.getPublicationSummary(),
-      loads: chooser.loads.getOwn(chooser.upstreams.getAll()),
+      loads: chooser.loads.getOwnCounts(chooser.upstreams.getAll()),
     };
   }
 
--- a/src/gateway/prefix_exchange.ts
+++ b/src/gateway/prefix_exchange.ts
@@ -37,7 +37,7 @@
       response.writeHead(204).end();
       return;
     }
-    const entries = this.prefixes.getRecent(MAX_ENTRIES, readClock());
+    const entries = this.prefixes.getRecentUpdates(MAX_ENTRIES, readClock());
     answerPacked(response, entries);
   }
 
@@ -48,7 +48,7 @@
       const response = await this.client.ask(address, PREFIXES_PATH);
       if (response === undefined) return false;
       const entries = prefixFactsSchema.parse(response);
-      this.prefixes.learn(entries, readClock());
+      this.prefixes.applyUpdates(entries, readClock());
       this.logger.info({ address, facts: entries.length }, "prefixes_learned");
       return true;
     } catch (error) {
--- a/src/gateway/prefix_recovery.ts
+++ b/src/gateway/prefix_recovery.ts
@@ -99,10 +99,10 @@
     try {
       const parts = await listParts(inventory, engine);
       const sent = parts.map((id) => ({
-        name: PrefixIndex.nameOf(id),
+        name: PrefixIndex.hashPartId(id),
         tokens: 0,
       }));
-      prefixes.noteSent(sent, engine.shortName, true, readClock());
+      prefixes.recordSent(sent, engine.instanceHash, true, readClock());
       logger.info(
         { upstream: engine.id, parts: parts.length },
         "prefixes_recovered",
@@ -125,10 +125,10 @@
     throw new Error("engine has requested a backoff");
   }
   const response = await inventory.listParts(engine.address);
-  if (engine.isOtherStart(response.list?.startedAt)) {
+  if (engine.isOtherInstance(response.list?.startedAt)) {
     throw new Error("engine has restarted since its entry was published");
   }
-  availability.note(response.availability, readClock());
+  availability.recordNotice(response.availability, readClock());
   if (response.list) return response.list.parts;
   throw new Error(`engine responded with status ${response.status}`);
 }
--- a/src/gateway/record_told_loads.ts
+++ b/src/gateway/record_told_loads.ts
@@ -19,8 +19,8 @@
   const ttlMs = PEER_LOADS_TTL_MS[isLargeFleet ? "large" : "small"];
   const usedUntil = reportedAt + ttlMs;
   loads.record(entry.id, {
-    toldAt: reportedAt,
-    usedUntil,
+    reportedAt: reportedAt,
+    expiresAt: usedUntil,
     counts: entry.loads,
   });
 }
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -1,4 +1,4 @@
-import { StartAdmission } from "../admission/start_admission.ts";
+import { AdmissionController } from "../admission/admission_controller.ts";
 import { readClock } from "../clock/clock.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { UpstreamAccess } from "../forward/call_run_context.ts";
@@ -14,10 +14,13 @@
 import { findFetchSource } from "../upstreams/find_fetch_source.ts";
 import { LoadCounts } from "../upstreams/load_counts.ts";
 import type { LoadSnapshot } from "../upstreams/load_snapshot.ts";
-import { PrefixIndex, type SentPart } from "../upstreams/prefix_index.ts";
-import { RetryShare } from "../upstreams/retry_share.ts";
+import {
+  type HashedPromptPart,
+  PrefixIndex,
+} from "../upstreams/prefix_index.ts";
+import { RetryBudgetShare } from "../upstreams/retry_budget_share.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import type { HealthSign } from "../upstreams/upstream_health.ts";
+import type { HealthSignal } from "../upstreams/upstream_health.ts";
 import { UpstreamTable } from "../upstreams/upstream_table.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 
@@ -61,7 +64,7 @@
   /** Called for each attempt, with the known load of the upstream. */
   onSend: (choice: UpstreamChoice, load: LoadSnapshot) => void;
   /** Called with each health signal of an upstream. */
-  onHealthSignal: (sign: HealthSign) => void;
+  onHealthSignal: (sign: HealthSignal) => void;
   /** Returns monotonic milliseconds; defaults to the clock of the process. */
   readNow?: () => number;
   /** Defaults to an unseeded generator. */
@@ -78,20 +81,20 @@
   readonly prefixes = PrefixIndex.create();
   private readonly readNow: () => number;
   private readonly random: Random;
-  private readonly admission: StartAdmission;
-  private readonly retryBudgets = new Map<string, RetryShare>();
+  private readonly admission: AdmissionController;
+  private readonly retryBudgets = new Map<string, RetryBudgetShare>();
 
   private constructor(private readonly options: UpstreamChooserOptions) {
     this.readNow = options.readNow ?? readClock;
     this.random = options.random ?? Random.create();
-    this.admission = StartAdmission.create(this.random);
+    this.admission = AdmissionController.create(this.random);
     this.upstreams = UpstreamTable.create({
       logger: options.logger,
       getLapseEndsAt: options.getLapseEndsAt,
-      leaveWithinMs: options.getSettings().leaveWithinMs,
+      leaveTimeoutMs: options.getSettings().leaveWithinMs,
       onRestart: options.onRestart,
-      onAvailability: options.onAvailability,
-      onDrop: options.onDrop,
+      onAvailabilityChange: options.onAvailability,
+      onRemove: options.onDrop,
     });
   }
 
@@ -109,10 +112,10 @@
       placePrompt: (call, target) => this.placePrompt(call, target),
       noteSend: (choice) => this.recordSend(choice),
       noteCompleted: ({ service, route }, durationMs) =>
-        this.admission.noteCompleted(service, route.name, durationMs),
+        this.admission.recordCompletion(service, route.name, durationMs),
       spendRetry: (service) => this.spendRetry(service),
       noteHealth: (upstream, sign) => this.recordHealthSignal(upstream, sign),
-      noteMoved: (upstream) => this.upstreams.drop(upstream),
+      noteMoved: (upstream) => this.upstreams.remove(upstream),
     };
   }
 
@@ -126,7 +129,7 @@
   /** Records a request, which adds to the retry budget of its service.
    * @param service Name of the service. */
   recordRequest(service: string): void {
-    this.getRetryBudget(service).noteRequest(this.readNow());
+    this.getRetryBudget(service).recordRequest(this.readNow());
   }
 
   /** Resets all retry budgets, because the settings that they depend on have changed. */
@@ -137,7 +140,7 @@
   /** Marks an upstream as crashed: it gets no requests for a while, and others fetch nothing that it had cached.
    * @param shortName Short name of the upstream process. */
   markCrashed(shortName: number): void {
-    const upstream = this.upstreams.findByShortName(shortName);
+    const upstream = this.upstreams.findByInstanceHash(shortName);
     if (!upstream) return;
     upstream.crashedAt = this.readNow();
     this.recordHealthSignal(upstream, "unreachable");
@@ -163,8 +166,8 @@
       boundMultiple,
       service: call.service,
       route: call.route.name,
-      tried,
-      isCautious: !mayRunAgain(call),
+      triedIds: tried,
+      avoidsSuspects: !mayRunAgain(call),
       sharedParts: call.sharedParts,
       prefixes: this.prefixes,
       loads: this.loads,
@@ -178,7 +181,7 @@
   /** Returns the reachable upstreams of a service, whether or not they accept new requests. */
   private getReachable(service: string, now: number): Upstream[] {
     return this.upstreams.getPresent(service).filter((upstream) =>
-      upstream.isWithinReach(now)
+      upstream.isReachable(now)
     );
   }
 
@@ -205,12 +208,12 @@
     if (!deepest) return undefined;
     const now = this.readNow();
     const kept = sharedParts.filter(({ name }) =>
-      this.prefixes.isKept(name, target.shortName, now)
+      this.prefixes.isCached(name, target.instanceHash, now)
     );
     const source = this.findPrefixSource(sharedParts, service, target, now);
     const isFetched = source !== undefined;
-    this.prefixes.noteSent(sharedParts, target.shortName, isFetched, now);
-    if (this.prefixes.hasUntold) this.options.onPrefixUpdates();
+    this.prefixes.recordSent(sharedParts, target.instanceHash, isFetched, now);
+    if (this.prefixes.hasPendingUpdates) this.options.onPrefixUpdates();
     return {
       part: deepest.name,
       sharedTokens: sumTokens(sharedParts),
@@ -220,7 +223,7 @@
   }
 
   private findPrefixSource(
-    parts: readonly SentPart[],
+    parts: readonly HashedPromptPart[],
     service: string,
     target: Upstream,
     now: number,
@@ -239,9 +242,9 @@
   /** Records the health signal of an attempt, and ejects the upstream if its health requires it.
    * @param upstream The upstream.
    * @param sign The health signal. */
-  private recordHealthSignal(upstream: Upstream, sign: HealthSign): void {
+  private recordHealthSignal(upstream: Upstream, sign: HealthSignal): void {
     this.options.onHealthSignal(sign);
-    const ejectedMs = upstream.health.note(sign, this.readNow());
+    const ejectedMs = upstream.health.recordSignal(sign, this.readNow());
     if (ejectedMs === 0) return;
     this.options.logger.warn(
       { upstream: upstream.id, sign, ejectedMs },
@@ -252,7 +255,7 @@
   /** Spends a retry from the budget of a service; returns whether one was left.
    * @param service Name of the service. */
   private spendRetry(service: string): boolean {
-    return this.getRetryBudget(service).spend(this.readNow());
+    return this.getRetryBudget(service).tryAcquire(this.readNow());
   }
 
   /** Returns the upstreams of a service that may get a request, without those on which this host has used up its share
@@ -265,11 +268,11 @@
     return serving.filter((upstream) => upstream.ownRequests < share);
   }
 
-  private getRetryBudget(service: string): RetryShare {
+  private getRetryBudget(service: string): RetryBudgetShare {
     const existing = this.retryBudgets.get(service);
     if (existing) return existing;
     const settings = this.options.getSettings();
-    const budget = RetryShare.create({
+    const budget = RetryBudgetShare.create({
       ratio: settings.retryRatio,
       extra: settings.retryExtra,
       windowMs: settings.retryWindowMs,
@@ -281,6 +284,6 @@
   }
 }
 
-function sumTokens(parts: readonly SentPart[]): number {
+function sumTokens(parts: readonly HashedPromptPart[]): number {
   return parts.reduce((sum, { tokens }) => sum + tokens, 0);
 }
--- a/src/hashing/host_ring.ts
+++ b/src/hashing/consistent_hash_ring.ts
@@ -7,23 +7,23 @@
 
 /** Consistent hash ring of names with 32-bit positions. A key belongs to the names that follow its position, so adding
  * or removing a name moves only the keys next to it. */
-export class HostRing {
+export class ConsistentHashRing {
   private constructor(private readonly points: readonly RingPoint[]) {}
 
   /** Creates a ring.
    * @param names The names. */
-  static create(names: readonly string[]): HostRing {
+  static create(names: readonly string[]): ConsistentHashRing {
     const points = names.map((name) => ({ position: hashText(name), name }));
     points.sort((a, b) =>
       a.position - b.position || (a.name < b.name ? -1 : 1)
     );
-    return new HostRing(points);
+    return new ConsistentHashRing(points);
   }
 
   /** Returns the names that follow a position; fewer than requested if the ring has fewer.
    * @param position Position as an unsigned 32-bit number.
    * @param count Maximum number of names. */
-  getFollowing(position: number, count: number): string[] {
+  getSuccessors(position: number, count: number): string[] {
     const { length } = this.points;
     const first = this.findFirstIndex(position);
     return Array.from(
--- a/src/hashing/request_fingerprint.ts
+++ b/src/hashing/request_fingerprint.ts
@@ -36,6 +36,6 @@
 
 /** Formats a fingerprint for the log.
  * @param fingerprint The fingerprint. */
-export function describeFingerprint(fingerprint: number): string {
+export function formatFingerprint(fingerprint: number): string {
   return fingerprint.toString(16).padStart(FINGERPRINT_BYTES * 2, "0");
 }
--- a/src/owner/owned_upstream.ts
+++ b/src/owner/owned_upstream.ts
@@ -85,7 +85,7 @@
 
   /** Whether the upstream asked in its answers for no requests, either for a time or until it is started again. */
   get refusesRequests(): boolean {
-    return !this.client.availability.takesRequests(this.timeline.read());
+    return !this.client.availability.acceptsRequests(this.timeline.read());
   }
 
   /** Remaining time of the backoff that the upstream asked for, in milliseconds, or 0. */
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -7,7 +7,7 @@
 import { POLICIES } from "../placement/policies.ts";
 import type { Host } from "../configuration_service/host_schema.ts";
 import type { Settings } from "../settings/settings_schema.ts";
-import { logAvailability } from "../upstreams/log_availability.ts";
+import { logAvailabilityChange } from "../upstreams/log_availability_change.ts";
 import { REPORT_CATCH_UP_MS } from "./foreign_load.ts";
 import { ReachableShare } from "./heard_share.ts";
 import {
@@ -149,7 +149,7 @@
    * @param upstream The upstream. */
   hasRoom(upstream: OwnedUpstream): boolean {
     if (upstream.isLoadUnknown) return false;
-    if (!upstream.client.availability.hasRoom(this.timeline.read())) {
+    if (!upstream.client.availability.hasCapacity(this.timeline.read())) {
       return false;
     }
     if (!this.isOwner(upstream.host)) return hasReservedSlot(upstream);
@@ -197,7 +197,7 @@
     const { boundMultiple, minimumCap } = this.options.settings.routing;
     const now = this.timeline.read();
     this.options.loads.record(this.getLoads(), now);
-    const pool = this.options.getPlacement().getPool(upstream.host);
+    const pool = this.options.getPlacement().getPoolMembers(upstream.host);
     const means = this.options.loads.getMeans(pool, now);
     const mean = chooseMean(means, boundMultiple);
     const reachableShare = this.share.update(
@@ -230,8 +230,8 @@
       stallTimeoutMs,
       timeline: this.timeline,
     });
-    upstream.client.onAvailability = (change) =>
-      logAvailability(
+    upstream.client.onAvailabilityChange = (change) =>
+      logAvailabilityChange(
         this.options.logger,
         host.id,
         change,
--- a/src/peers/datagram.ts
+++ b/src/peers/datagram.ts
@@ -1,5 +1,5 @@
 import type { CrashWord } from "../crashes/crash_word.ts";
-import type { PrefixFact, PrefixSighting } from "../upstreams/prefix_index.ts";
+import type { PrefixHolder, PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { GossipMessage } from "./gossip_schema.ts";
 import type { HostRumour } from "./host_rumour.ts";
 import type { PublicationWord } from "./publication_word.ts";
@@ -29,14 +29,14 @@
     status: PublicationWord;
   }
   /** Reports which engines were sent which parts of prompts. */
-  | { type: "prefix_facts"; facts: readonly PrefixFact[] }
+  | { type: "prefix_facts"; facts: readonly PrefixUpdate[] }
   /** Asks which engines hold a part of a prompt; the id matches responses to requests. */
   | { type: "prefix_lookup_request"; lookupId: number; part: number }
   /** Responds to such a request and returns its id. */
   | {
     type: "prefix_lookup_response";
     lookupId: number;
-    sightings: readonly PrefixSighting[];
+    sightings: readonly PrefixHolder[];
   }
   /** Reports which requests were in flight on upstreams that crashed. */
   | { type: "crash_words"; words: readonly CrashWord[] };
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -5,7 +5,7 @@
 } from "../clock/timeline.ts";
 import type { Logger } from "../logging/logger.ts";
 import { Random } from "../random/random.ts";
-import type { PrefixFact } from "../upstreams/prefix_index.ts";
+import type { PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
 import { FailureDetector } from "./failure_detector.ts";
 import { GossipTargets } from "./gossip_targets.ts";
@@ -49,11 +49,11 @@
   /** Returns this host's entry without the fields that gossip itself sets. */
   describeSelf: () => Omit<PeerEntry, "incarnation" | "sequence">;
   /** Returns the prefix facts to send in a round of a small fleet; each fact is returned once. */
-  takeFacts: () => PrefixFact[];
+  takeFacts: () => PrefixUpdate[];
   /** Whether unsent prefix facts remain. */
   hasFacts: () => boolean;
   /** Called with the prefix facts of another host. */
-  onFacts: (facts: readonly PrefixFact[]) => void;
+  onFacts: (facts: readonly PrefixUpdate[]) => void;
   /** Called with each new entry of a host and the time at which the host sent it, as far as is known. If given,
    * `requestedAt` is a time of this host's clock before which the entry was not composed. */
   onEntry: (
--- a/src/peers/gossip_composer.ts
+++ b/src/peers/gossip_composer.ts
@@ -1,6 +1,6 @@
 import type { Timeline } from "../clock/timeline.ts";
 import type { Random } from "../random/random.ts";
-import type { PrefixFact } from "../upstreams/prefix_index.ts";
+import type { PrefixUpdate } from "../upstreams/prefix_index.ts";
 import { selectGossipHosts } from "./select_gossip_hosts.ts";
 import type { GossipMessage } from "./gossip_schema.ts";
 import type { LoadReport } from "./load_report.ts";
@@ -27,7 +27,7 @@
 export interface GossipContent {
   /** Nonce that the receiver is to acknowledge. */
   probeNonce?: number;
-  facts?: readonly PrefixFact[];
+  facts?: readonly PrefixUpdate[];
   /** Hosts whose entries are relayed. */
   relayedHosts?: readonly KnownHost[];
 }
--- a/src/peers/prefix_directory.ts
+++ b/src/peers/prefix_directory.ts
@@ -1,6 +1,6 @@
 import { readClock } from "../clock/clock.ts";
-import { HostRing } from "../hashing/host_ring.ts";
-import type { PrefixFact, PrefixIndex } from "../upstreams/prefix_index.ts";
+import { ConsistentHashRing } from "../hashing/consistent_hash_ring.ts";
+import type { PrefixIndex, PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { DatagramSocket } from "./datagram_socket.ts";
 
 /** Directory hosts per part, so that one of them may fail. */
@@ -37,8 +37,8 @@
  * there. */
 export class PrefixDirectory {
   private readonly waiting = new Map<number, PendingLookup>();
-  private readonly batches = new Map<string, PrefixFact[]>();
-  private ring = HostRing.create([]);
+  private readonly batches = new Map<string, PrefixUpdate[]>();
+  private ring = ConsistentHashRing.create([]);
   private ringBuiltAt = -Infinity;
   private batchTimer: NodeJS.Timeout | undefined;
   private lastLookupId = 0;
@@ -47,10 +47,10 @@
     const { socket, prefixes } = options;
     socket.handle(
       "prefix_facts",
-      ({ facts }) => prefixes.learn(facts, readClock()),
+      ({ facts }) => prefixes.applyUpdates(facts, readClock()),
     );
     socket.handle("prefix_lookup_request", ({ lookupId, part }, sender) => {
-      const sightings = prefixes.getSightings(part, readClock());
+      const sightings = prefixes.getHolders(part, readClock());
       socket.send(sender, {
         type: "prefix_lookup_response",
         lookupId,
@@ -60,7 +60,7 @@
     socket.handle("prefix_lookup_response", ({ lookupId, sightings }) => {
       const lookup = this.waiting.get(lookupId);
       if (!lookup) return;
-      prefixes.recall(lookup.part, sightings, readClock());
+      prefixes.mergeHolders(lookup.part, sightings, readClock());
       lookup.responsesLeft -= 1;
       const isDone = sightings.length > 0 || lookup.responsesLeft === 0;
       if (isDone) lookup.resolve();
@@ -75,7 +75,7 @@
 
   /** Publishes facts to the directory hosts of their parts, in batches.
    * @param facts The facts. */
-  tell(facts: readonly PrefixFact[]): void {
+  tell(facts: readonly PrefixUpdate[]): void {
     for (const fact of facts) {
       for (const replica of this.getReplicas(fact[0])) {
         const batch = this.batches.get(replica) ?? [];
@@ -91,7 +91,7 @@
    * because this host knows of an engine with the part, or possible, because the part has no other directory host.
    * @param part Hash of the part's id. */
   learn(part: number): Promise<void> | undefined {
-    if (this.options.prefixes.isKeptAnywhere(part, readClock())) {
+    if (this.options.prefixes.isCachedAnywhere(part, readClock())) {
       return undefined;
     }
     const replicas = this.getReplicas(part);
@@ -152,10 +152,10 @@
     const { ownAddress, getHosts } = this.options;
     const now = readClock();
     if (now - this.ringBuiltAt > RING_CACHE_MS) {
-      this.ring = HostRing.create([...getHosts(), ownAddress]);
+      this.ring = ConsistentHashRing.create([...getHosts(), ownAddress]);
       this.ringBuiltAt = now;
     }
-    return this.ring.getFollowing(part, REPLICAS).filter((replica) =>
+    return this.ring.getSuccessors(part, REPLICAS).filter((replica) =>
       replica !== ownAddress
     );
   }
--- a/src/placement/placement_table.ts
+++ b/src/placement/placement_table.ts
@@ -41,7 +41,7 @@
 
   /** Returns the ids of all live upstreams in a pool.
    * @param host An upstream of the pool. */
-  getPool(host: Host): readonly string[] {
+  getPoolMembers(host: Host): readonly string[] {
     return this.pools.get(formatPoolName(host)) ?? [];
   }
 
--- a/src/router/router_crash_tracker.ts
+++ b/src/router/router_crash_tracker.ts
@@ -3,7 +3,7 @@
 import { CrashGuard } from "../crashes/crash_guard.ts";
 import type { CrashWord } from "../crashes/crash_word.ts";
 import { hashText } from "../hashing/hasher.ts";
-import { describeFingerprint } from "../hashing/request_fingerprint.ts";
+import { formatFingerprint } from "../hashing/request_fingerprint.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { Metrics } from "../metrics/metrics.ts";
@@ -27,7 +27,7 @@
     const { logger, metrics } = options;
     this.guard = CrashGuard.create({
       logger,
-      describe: describeFingerprint,
+      describe: formatFingerprint,
       onNews: () => this.gossip.announce(),
       onHeld: () => undefined,
       onCrash: () => metrics.count("upstream_crashes"),
--- a/src/upstream/upstream_client.ts
+++ b/src/upstream/upstream_client.ts
@@ -55,7 +55,7 @@
   private readonly agent: Agent;
   private readonly url: string;
   /** Called when the availability of the upstream has changed. */
-  onAvailability: (change: AvailabilityChange) => void = () => undefined;
+  onAvailabilityChange: (change: AvailabilityChange) => void = () => undefined;
   private currentAvailability = this.createAvailability();
   private leavingSeenAt = -Infinity;
 
@@ -187,7 +187,7 @@
     dispatcher: Dispatcher,
   ): Promise<Dispatcher.ResponseData> {
     const { currentAvailability: availability } = this;
-    if (!availability.takesRequests(readClock())) {
+    if (!availability.acceptsRequests(readClock())) {
       throw UpstreamError.create(
         "no",
         "the upstream takes no requests",
@@ -208,7 +208,7 @@
 
   private createAvailability(): Availability {
     const availability = Availability.create();
-    availability.onChange = (change) => this.onAvailability(change);
+    availability.onChange = (change) => this.onAvailabilityChange(change);
     return availability;
   }
 
@@ -219,7 +219,7 @@
     const now = readClock();
     const notice = readAvailabilityNotice(statusCode, headers, LEAVING_HEADER);
     if (notice.isLeaving) this.leavingSeenAt = now;
-    this.currentAvailability.note(notice, now);
+    this.currentAvailability.recordNotice(notice, now);
   }
 
   private async dispatch(
--- a/src/upstreams/availability.ts
+++ b/src/upstreams/availability.ts
@@ -48,13 +48,13 @@
 
   /** Whether requests may be sent at all. Senders also check this just before the first byte is sent.
    * @param now Monotonic milliseconds. */
-  takesRequests(now: number): boolean {
+  acceptsRequests(now: number): boolean {
     return !this.hasAnnouncedLeaving && now >= this.backoffEndsAt;
   }
 
   /** Whether the upstream likely has capacity for one more request. If no upstream has, it may be tried all the same.
    * @param now Monotonic milliseconds. */
-  hasRoom(now: number): boolean {
+  hasCapacity(now: number): boolean {
     if (now < this.declineBackoffEndsAt) return false;
     return this.trialLimit === undefined ||
       this.trialsInFlight < this.trialLimit;
@@ -69,7 +69,10 @@
   /** Applies the notice of a response. If backoffs overlap, the one that ends last counts.
    * @param notice Notice of the response.
    * @param now Monotonic milliseconds. */
-  note({ backoffMs, isLeaving }: AvailabilityNotice, now: number): void {
+  recordNotice(
+    { backoffMs, isLeaving }: AvailabilityNotice,
+    now: number,
+  ): void {
     if (isLeaving) this.recordLeaving();
     if (backoffMs === undefined) return;
     const wasBackingOff = now < this.backoffEndsAt;
@@ -90,7 +93,7 @@
   /** Records that the upstream declined a request without naming a backoff. Further declines during the resulting
    * backoff are ignored, so that requests under way at the first one count once.
    * @param now Monotonic milliseconds. */
-  noteFull(now: number): void {
+  recordDecline(now: number): void {
     if (now < this.declineBackoffEndsAt) return;
     const durationMs = INITIAL_DECLINE_BACKOFF_MS *
       2 ** this.consecutiveDeclines;
@@ -101,7 +104,7 @@
   }
 
   /** Records that the upstream accepted a request. */
-  noteTaken(): void {
+  recordAccepted(): void {
     this.consecutiveDeclines = 0;
   }
 
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -1,8 +1,8 @@
-import type { StartAdmission } from "../admission/start_admission.ts";
+import type { AdmissionController } from "../admission/admission_controller.ts";
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 import type { Random } from "../random/random.ts";
 import type { LoadCounts } from "./load_counts.ts";
-import type { PrefixIndex, SentPart } from "./prefix_index.ts";
+import type { HashedPromptPart, PrefixIndex } from "./prefix_index.ts";
 import type { Upstream } from "./upstream.ts";
 
 /** Requests that the load bound allows beyond the multiple of the mean load. */
@@ -33,19 +33,19 @@
    * load. */
   present: readonly Upstream[];
   /** Ids of the upstreams that the request was already sent to. */
-  tried: ReadonlySet<string>;
+  triedIds: ReadonlySet<string>;
   /** Name of the request's service. */
   service: string;
   /** Name of the request's route. */
   route: string;
   /** Parts of the prompt that are shared with other requests, in order; empty if none are. */
-  sharedParts: readonly SentPart[];
+  sharedParts: readonly HashedPromptPart[];
   /** Whether to avoid upstreams that failed recently, because the request can't be sent again once it may have run. */
-  isCautious: boolean;
+  avoidsSuspects: boolean;
   /** Multiple of the mean load that an upstream may carry; three further requests are allowed on top. */
   boundMultiple: number;
   loads: LoadCounts;
-  admission: StartAdmission;
+  admission: AdmissionController;
   prefixes: PrefixIndex;
   /** Hall of this host. */
   hall: string;
@@ -60,15 +60,15 @@
   options: ChoiceOptions,
 ): UpstreamChoice | undefined {
   const untried = options.candidates.filter((upstream) =>
-    !options.tried.has(upstream.id)
+    !options.triedIds.has(upstream.id)
   );
   const notEjected = untried.filter((upstream) =>
     !upstream.health.isEjected(options.now)
   );
   const withCapacity = notEjected.filter((upstream) =>
-    upstream.availability.hasRoom(options.now)
+    upstream.availability.hasCapacity(options.now)
   );
-  const preferred = options.isCautious
+  const preferred = options.avoidsSuspects
     ? withCapacity.filter((upstream) => !upstream.health.isSuspect)
     : withCapacity;
   const usable = [preferred, withCapacity, notEjected, untried].find((list) =>
@@ -99,7 +99,7 @@
   const lastPart = sharedParts.at(-1)!.name;
   const mayStart = createAdmissionCheck(lastPart, bound, options);
   const hasCached = (upstream: Upstream) =>
-    prefixes.isKept(lastPart, upstream.shortName, now);
+    prefixes.isCached(lastPart, upstream.instanceHash, now);
   // All engines are ranked only if none that has the prompt cached admits the request: ranking hashes each engine.
   const cached = rankForPart(lastPart, usable.filter(hasCached)).find(mayStart);
   if (cached) return { upstream: cached, basis: "kept_prompt", bound };
@@ -178,7 +178,7 @@
   { prefixes, now }: ChoiceOptions,
 ): Upstream | undefined {
   const isBacklogged = (upstream: Upstream) =>
-    prefixes.getPrefillBacklogMs(upstream.shortName, now) >=
+    prefixes.getPrefillBacklogMs(upstream.instanceHash, now) >=
       MAX_PREFILL_BACKLOG_MS;
   return ranked.find((upstream) =>
     !isBacklogged(upstream) && mayStart(upstream)
--- a/src/upstreams/channel_pool.ts
+++ b/src/upstreams/connection_pool.ts
@@ -1,8 +1,8 @@
-import { Channel } from "./channel.ts";
+import { UpstreamConnection } from "./upstream_connection.ts";
 
 /** Pool of the idle connections to one upstream. */
 export class ConnectionPool {
-  private readonly idle: Channel[] = [];
+  private readonly idle: UpstreamConnection[] = [];
   private isClosed = false;
 
   private constructor(private readonly address: string) {}
@@ -14,17 +14,20 @@
   }
 
   /** Returns the most recently used idle connection, or a new one. */
-  take(): Channel {
+  acquire(): UpstreamConnection {
     while (this.idle.length > 0) {
       const connection = this.idle.pop()!;
       if (connection.isUsable) return connection;
     }
-    return Channel.create(this.address, (closed) => this.remove(closed));
+    return UpstreamConnection.create(
+      this.address,
+      (closed) => this.remove(closed),
+    );
   }
 
   /** Returns a connection to the pool after a complete response.
    * @param connection The connection. */
-  giveBack(connection: Channel): void {
+  release(connection: UpstreamConnection): void {
     if (this.isClosed) return connection.close();
     if (connection.isUsable) this.idle.push(connection);
   }
@@ -35,7 +38,7 @@
     for (const connection of this.idle.splice(0)) connection.close();
   }
 
-  private remove(connection: Channel): void {
+  private remove(connection: UpstreamConnection): void {
     const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
   }
--- a/src/upstreams/find_fetch_source.ts
+++ b/src/upstreams/find_fetch_source.ts
@@ -1,5 +1,5 @@
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
-import type { PrefixIndex, SentPart } from "./prefix_index.ts";
+import type { HashedPromptPart, PrefixIndex } from "./prefix_index.ts";
 import type { Upstream } from "./upstream.ts";
 
 /** Finds the engine from which another engine should fetch the prompt parts that it lacks; undefined if it lacks none
@@ -13,16 +13,16 @@
  * @param prefixes Index of the cached prompt parts.
  * @param now Monotonic milliseconds. */
 export function findFetchSource(
-  parts: readonly SentPart[],
+  parts: readonly HashedPromptPart[],
   target: Upstream,
   engines: readonly Upstream[],
   prefixes: PrefixIndex,
   now: number,
 ): Upstream | undefined {
   for (const { name: part } of parts.toReversed()) {
-    if (prefixes.isKept(part, target.shortName, now)) return undefined;
+    if (prefixes.isCached(part, target.instanceHash, now)) return undefined;
     const source = engines.find((engine) =>
-      engine !== target && prefixes.isKept(part, engine.shortName, now)
+      engine !== target && prefixes.isCached(part, engine.instanceHash, now)
     );
     if (source) return source;
   }
@@ -30,7 +30,7 @@
 }
 
 function findLikelySource(
-  parts: readonly SentPart[],
+  parts: readonly HashedPromptPart[],
   target: Upstream,
   engines: readonly Upstream[],
 ): Upstream | undefined {
@@ -43,7 +43,7 @@
 }
 
 function findFirstRanked(
-  parts: readonly SentPart[],
+  parts: readonly HashedPromptPart[],
   engines: readonly Upstream[],
 ): Upstream | undefined {
   const ids = engines.map((engine) => engine.id);
--- a/src/upstreams/load_counts.ts
+++ b/src/upstreams/load_counts.ts
@@ -14,9 +14,9 @@
 /** Request counts reported by a host. */
 export interface HostLoadReport {
   /** Estimated monotonic milliseconds at which the host reported the counts. */
-  toldAt: number;
+  reportedAt: number;
   /** Monotonic milliseconds at which the counts expire. */
-  usedUntil: number;
+  expiresAt: number;
   /** Requests by upstream; a missing upstream has none. */
   counts: readonly LoadCount[];
 }
@@ -90,9 +90,9 @@
 
   /** Returns the counts of this process, for other hosts.
    * @param upstreams All upstreams. */
-  getOwn(upstreams: Iterable<Upstream>): LoadCount[] {
+  getOwnCounts(upstreams: Iterable<Upstream>): LoadCount[] {
     const counts: LoadCount[] = [];
-    for (const { shortName, ownRequests } of upstreams) {
+    for (const { instanceHash: shortName, ownRequests } of upstreams) {
       if (ownRequests > 0) counts.push([shortName, ownRequests]);
     }
     return counts;
@@ -100,13 +100,16 @@
 
   private getForeignRequests(upstream: Upstream, now: number): number {
     if (now >= this.sumExpiresAt) this.updateSum(now);
-    return this.foreign.get(upstream.shortName) ?? 0;
+    return this.foreign.get(upstream.instanceHash) ?? 0;
   }
 
   private updateSum(now: number): void {
     const sums = new Map<number, number>();
     const counted = { hosts: 0, reportedAtSum: 0, oldestReportedAt: Infinity };
-    for (const [hostId, { usedUntil, toldAt, counts }] of this.hosts) {
+    for (
+      const [hostId, { expiresAt: usedUntil, reportedAt: toldAt, counts }]
+        of this.hosts
+    ) {
       if (now > usedUntil) {
         this.hosts.delete(hostId);
         continue;
--- a/src/upstreams/log_availability.ts
+++ b/src/upstreams/log_availability_change.ts
@@ -6,7 +6,7 @@
  * @param upstreamId Id of the upstream.
  * @param change The change.
  * @param backoffMs Remaining time of the requested backoff, in milliseconds. */
-export function logAvailability(
+export function logAvailabilityChange(
   logger: Logger,
   upstreamId: string,
   change: AvailabilityChange,
--- a/src/upstreams/prefix_index.ts
+++ b/src/upstreams/prefix_index.ts
@@ -14,14 +14,18 @@
 
 /** Update that an engine was sent a prompt part: hashes of the part and of the engine instance, and the tokens that the
  * engine had to prefill for it, 0 if it had the part cached or fetched it. */
-export type PrefixFact = [part: number, engine: number, prefillTokens: number];
+export type PrefixUpdate = [
+  part: number,
+  engine: number,
+  prefillTokens: number,
+];
 
 /** An engine that has a prompt part cached: hash of the engine instance, and milliseconds since it was last sent the
  * part. */
-export type PrefixSighting = [engine: number, agoMs: number];
+export type PrefixHolder = [engine: number, agoMs: number];
 
 /** A part of a prompt. */
-export interface SentPart {
+export interface HashedPromptPart {
   /** Hash of the part's id. */
   name: number;
   tokens: number;
@@ -29,7 +33,7 @@
 
 /** Estimates the prefill time of prompt parts, in milliseconds.
  * @param parts The parts. */
-export function estimateReadingMs(parts: readonly SentPart[]): number {
+export function estimatePrefillMs(parts: readonly HashedPromptPart[]): number {
   return parts.reduce(
     (sum, { tokens }) => sum + tokens * PREFILL_MS_PER_TOKEN,
     0,
@@ -45,7 +49,7 @@
   private readonly prefillEndsAt = new Map<number, number>();
   /** By part and engine, the monotonic milliseconds at which an update was last queued for other hosts. */
   private readonly announcedAt = new Map<number, Map<number, number>>();
-  private pendingUpdates: PrefixFact[] = [];
+  private pendingUpdates: PrefixUpdate[] = [];
   private isMarkedComplete = false;
 
   private constructor() {}
@@ -57,7 +61,7 @@
 
   /** Returns the hash of a prompt part.
    * @param partId Id of the part. */
-  static nameOf(partId: string): number {
+  static hashPartId(partId: string): number {
     return hashText(partId);
   }
 
@@ -67,7 +71,7 @@
   }
 
   /** Whether updates are queued for other hosts. If many arrive at once, they need more than one datagram. */
-  get hasUntold(): boolean {
+  get hasPendingUpdates(): boolean {
     return this.pendingUpdates.length > 0;
   }
 
@@ -76,14 +80,14 @@
    * @param engine Hash of the engine instance.
    * @param isFetched Whether the engine fetches the parts that it lacks from another engine.
    * @param now Monotonic milliseconds. */
-  noteSent(
-    parts: readonly SentPart[],
+  recordSent(
+    parts: readonly HashedPromptPart[],
     engine: number,
     isFetched: boolean,
     now: number,
   ): void {
     for (const { name, tokens } of parts) {
-      const isPrefilled = !isFetched && !this.isKept(name, engine, now);
+      const isPrefilled = !isFetched && !this.isCached(name, engine, now);
       const prefillTokens = isPrefilled ? tokens : 0;
       this.applyUpdate([name, engine, prefillTokens], now);
       this.enqueueUpdate([name, engine, prefillTokens], now);
@@ -105,25 +109,25 @@
   /** Applies updates from another host.
    * @param updates The updates.
    * @param now Monotonic milliseconds. */
-  learn(updates: readonly PrefixFact[], now: number): void {
+  applyUpdates(updates: readonly PrefixUpdate[], now: number): void {
     for (const update of updates) this.applyUpdate(update, now);
   }
 
   /** Removes and returns the queued updates that fit into one datagram. */
-  takeFacts(): PrefixFact[] {
+  takeUpdates(): PrefixUpdate[] {
     return this.pendingUpdates.splice(0, MAX_UPDATES_PER_DATAGRAM);
   }
 
   /** Removes and returns all queued updates. */
-  takeAllFacts(): PrefixFact[] {
+  takeAllUpdates(): PrefixUpdate[] {
     return this.pendingUpdates.splice(0);
   }
 
   /** Returns updates about the most recently used parts, for a host that has just started.
    * @param limit Maximum number of updates.
    * @param now Monotonic milliseconds. */
-  getRecent(limit: number, now: number): PrefixFact[] {
-    const updates: PrefixFact[] = [];
+  getRecentUpdates(limit: number, now: number): PrefixUpdate[] {
+    const updates: PrefixUpdate[] = [];
     for (const [part, holders] of [...this.engines].reverse()) {
       for (const [engine, usedAt] of holders) {
         if (now - usedAt < CACHE_RETENTION_MS) updates.push([part, engine, 0]);
@@ -137,7 +141,7 @@
    * @param part Hash of the part.
    * @param engine Hash of the engine instance.
    * @param now Monotonic milliseconds. */
-  isKept(part: number, engine: number, now: number): boolean {
+  isCached(part: number, engine: number, now: number): boolean {
     const usedAt = this.engines.get(part)?.get(engine);
     return usedAt !== undefined && now - usedAt < CACHE_RETENTION_MS;
   }
@@ -145,14 +149,14 @@
   /** Returns whether any engine is assumed to have a prompt part cached.
    * @param part Hash of the part.
    * @param now Monotonic milliseconds. */
-  isKeptAnywhere(part: number, now: number): boolean {
-    return this.getSightings(part, now).length > 0;
+  isCachedAnywhere(part: number, now: number): boolean {
+    return this.getHolders(part, now).length > 0;
   }
 
   /** Returns the engines that are assumed to have a prompt part cached.
    * @param part Hash of the part.
    * @param now Monotonic milliseconds. */
-  getSightings(part: number, now: number): PrefixSighting[] {
+  getHolders(part: number, now: number): PrefixHolder[] {
     return [...this.engines.get(part) ?? []].filter(([, usedAt]) =>
       now - usedAt < CACHE_RETENTION_MS
     ).map(([engine, usedAt]) => [engine, Math.round(now - usedAt)]);
@@ -162,9 +166,9 @@
    * @param part Hash of the part.
    * @param holders Engines that the other host reported.
    * @param now Monotonic milliseconds. */
-  recall(
+  mergeHolders(
     part: number,
-    holders: readonly PrefixSighting[],
+    holders: readonly PrefixHolder[],
     now: number,
   ): void {
     for (const [engine, agoMs] of holders) {
@@ -175,7 +179,7 @@
   }
 
   private applyUpdate(
-    [part, engine, prefillTokens]: PrefixFact,
+    [part, engine, prefillTokens]: PrefixUpdate,
     now: number,
   ): void {
     if (prefillTokens > 0) {
@@ -195,7 +199,7 @@
     this.announcedAt.delete(oldest!);
   }
 
-  private enqueueUpdate(update: PrefixFact, now: number): void {
+  private enqueueUpdate(update: PrefixUpdate, now: number): void {
     const [part, engine] = update;
     const announcedByEngine = this.announcedAt.get(part) ??
       new Map<number, number>();
--- a/src/upstreams/retry_share.ts
+++ b/src/upstreams/retry_budget_share.ts
@@ -28,7 +28,7 @@
 /** This host's share of the fleet's retry budget for one service, over a sliding window. In a large fleet a share is a
  * few retries, so each host rounds its share at random: always rounding down would make the fleet refuse a fifth of the
  * retries when many upstreams fail at once. */
-export class RetryShare {
+export class RetryBudgetShare {
   private slots: Slot[] = [];
   /** Fraction of a retry above which the share is rounded up. */
   private readonly rounding: number;
@@ -39,19 +39,19 @@
 
   /** Creates an unused share.
    * @param options Retry budget of the fleet. */
-  static create(options: RetryBudgetOptions): RetryShare {
-    return new RetryShare(options);
+  static create(options: RetryBudgetOptions): RetryBudgetShare {
+    return new RetryBudgetShare(options);
   }
 
   /** Records the first attempt of a request.
    * @param now Monotonic milliseconds. */
-  noteRequest(now: number): void {
+  recordRequest(now: number): void {
     this.getSlot(now).requests += 1;
   }
 
   /** Takes one retry from the share; returns false if none is left.
    * @param now Monotonic milliseconds. */
-  spend(now: number): boolean {
+  tryAcquire(now: number): boolean {
     const slot = this.getSlot(now);
     const requests = this.slots.reduce((sum, slot) => sum + slot.requests, 0);
     const retries = this.slots.reduce((sum, slot) => sum + slot.retries, 0);
--- a/src/upstreams/upstream.ts
+++ b/src/upstreams/upstream.ts
@@ -2,26 +2,26 @@
 import { hashText } from "../hashing/hasher.ts";
 import type { PublishedUpstream } from "../published/upstream_schema.ts";
 import { Availability } from "./availability.ts";
-import { ConnectionPool } from "./channel_pool.ts";
+import { ConnectionPool } from "./connection_pool.ts";
 import { UpstreamHealth } from "./upstream_health.ts";
 
 /** State of one instance of an upstream in this process. */
 export class Upstream {
   /** Idle connections to the upstream. */
-  readonly channels: ConnectionPool;
+  readonly connections: ConnectionPool;
   /** Health according to the outcomes of attempts. */
   readonly health = UpstreamHealth.create();
   /** Whether it accepts requests, according to its responses. */
   readonly availability: Availability;
   /** Hash that identifies this instance of the upstream in messages between hosts, so that information about another
    * instance is not applied to this one. */
-  readonly shortName: number;
+  readonly instanceHash: number;
   /** Requests that this process has running on the upstream. */
   ownRequests = 0;
   /** Rate at which this process considers the upstream for popular prompts. */
   readonly popularArrivals = ArrivalRate.create();
   /** Monotonic milliseconds at which bytes of any of its responses were last received. */
-  heardAt = -Infinity;
+  lastReceivedAt = -Infinity;
   /** Running and waiting requests that it last reported with a response, and the monotonic milliseconds of the
    * report. */
   reported: { requests: number; at: number } | undefined;
@@ -38,8 +38,8 @@
     availability: Availability,
   ) {
     this.availability = availability;
-    this.channels = ConnectionPool.create(published.address);
-    this.shortName = hashText(formatInstanceName(published));
+    this.connections = ConnectionPool.create(published.address);
+    this.instanceHash = hashText(formatInstanceName(published));
   }
 
   /** Creates an upstream.
@@ -73,20 +73,20 @@
 
   /** Returns whether a start time identifies another instance than this one. False if either start time is unknown.
    * @param startedAt Unix milliseconds of the start; undefined if the response contains none. */
-  isOtherStart(startedAt: number | undefined): boolean {
+  isOtherInstance(startedAt: number | undefined): boolean {
     const own = this.published.startedAt;
     return own !== undefined && startedAt !== undefined && own !== startedAt;
   }
 
   /** Returns whether the upstream is likely reachable, so that other upstreams can fetch from it.
    * @param now Monotonic milliseconds. */
-  isWithinReach(now: number): boolean {
-    return this.health.isReachable(this.heardAt, now);
+  isReachable(now: number): boolean {
+    return this.health.isReachable(this.lastReceivedAt, now);
   }
 
   /** Closes the idle connections; those in use are closed after their request. */
   close(): void {
-    this.channels.close();
+    this.connections.close();
   }
 }
 
--- a/src/upstreams/channel.ts
+++ b/src/upstreams/upstream_connection.ts
@@ -13,12 +13,15 @@
 const KEEPALIVE_PROBE_DELAY_MS = 1_000;
 
 /** A connection to an upstream that carries one request at a time. */
-export class Channel {
+export class UpstreamConnection {
   private readonly client: Client;
   private isClosed = false;
   private hasFailed = false;
 
-  private constructor(address: string, onClosed: (channel: Channel) => void) {
+  private constructor(
+    address: string,
+    onClosed: (channel: UpstreamConnection) => void,
+  ) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       headersTimeout: 0,
@@ -39,9 +42,9 @@
    * @param onClosed Called when the connection has ended. */
   static create(
     address: string,
-    onClosed: (channel: Channel) => void,
-  ): Channel {
-    return new Channel(address, onClosed);
+    onClosed: (channel: UpstreamConnection) => void,
+  ): UpstreamConnection {
+    return new UpstreamConnection(address, onClosed);
   }
 
   /** Whether the connection can carry a request. */
--- a/src/upstreams/upstream_health.ts
+++ b/src/upstreams/upstream_health.ts
@@ -14,7 +14,7 @@
 const MAX_EJECTION_MS = 6_000;
 
 /** Outcome of an attempt at an upstream, as it concerns the upstream's health. */
-export type HealthSign =
+export type HealthSignal =
   | "good"
   | "error_answer"
   | "broken"
@@ -29,7 +29,7 @@
 
 /** One broken connection ejects an upstream. It takes two consecutive silences, because a single one may be caused by a
  * long prompt of another request. */
-const SIGNAL_WEIGHTS: Readonly<Record<HealthSign, SignalWeights>> = {
+const SIGNAL_WEIGHTS: Readonly<Record<HealthSignal, SignalWeights>> = {
   good: { fault: 0.12, error: 0.1 },
   error_answer: { fault: 0.12, error: 0.1 },
   broken: { fault: 0.34, error: 0 },
@@ -81,7 +81,7 @@
    * @param signal The outcome.
    * @param now Monotonic milliseconds.
    * @returns Duration of the ejection that this outcome causes, in milliseconds, or 0. */
-  note(signal: HealthSign, now: number): number {
+  recordSignal(signal: HealthSignal, now: number): number {
     const { fault, error } = SIGNAL_WEIGHTS[signal];
     const isFault = signal !== "good" && signal !== "error_answer";
     const isError = signal === "error_answer";
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -3,7 +3,7 @@
 import type { UpstreamChange } from "../published/publication_feed.ts";
 import type { PublishedUpstream } from "../published/upstream_schema.ts";
 import type { Availability, AvailabilityChange } from "./availability.ts";
-import { logAvailability } from "./log_availability.ts";
+import { logAvailabilityChange } from "./log_availability_change.ts";
 import { Upstream } from "./upstream.ts";
 
 /** Fraction of the leave timeout for which an upstream whose entry disappeared just after an outage of the platform is
@@ -27,14 +27,14 @@
    * platform; in the past if there was no recent outage. */
   getLapseEndsAt: () => number;
   /** Time after which a leaving upstream must get no new requests, in milliseconds. */
-  leaveWithinMs: number;
+  leaveTimeoutMs: number;
   /** Called before an upstream is removed because it restarted under the same id; the requests in flight on the earlier
    * instance are lost. */
   onRestart: (before: Upstream) => void;
   /** Called when the availability of an upstream has changed. */
-  onAvailability: (change: AvailabilityChange) => void;
+  onAvailabilityChange: (change: AvailabilityChange) => void;
   /** Called for each removed upstream. */
-  onDrop: (upstream: Upstream) => void;
+  onRemove: (upstream: Upstream) => void;
 }
 
 /** Table of the known upstreams by service. */
@@ -61,9 +61,9 @@
 
   /** Returns the upstream with an instance hash, if there is one.
    * @param instanceHash Hash of the upstream instance. */
-  findByShortName(instanceHash: number): Upstream | undefined {
+  findByInstanceHash(instanceHash: number): Upstream | undefined {
     return [...this.byId.values()].find((upstream) =>
-      upstream.shortName === instanceHash
+      upstream.instanceHash === instanceHash
     );
   }
 
@@ -114,7 +114,7 @@
 
   /** Removes an upstream immediately, for example because another one has its address.
    * @param upstream The upstream. */
-  drop(upstream: Upstream): void {
+  remove(upstream: Upstream): void {
     if (this.byId.get(upstream.id) !== upstream) return;
     this.byId.delete(upstream.id);
     this.rebuildService(upstream.published.service);
@@ -122,7 +122,7 @@
     this.rememberAvailability(upstream);
     upstream.close();
     this.options.logger.info({ upstream: upstream.id }, "upstream_dropped");
-    this.options.onDrop(upstream);
+    this.options.onRemove(upstream);
   }
 
   /** Closes the idle connections of all upstreams. */
@@ -134,7 +134,7 @@
   private acceptsRequests(upstream: Upstream): boolean {
     const now = readClock();
     return this.isEligibleAfterBackoff(upstream, now) &&
-      upstream.availability.takesRequests(now);
+      upstream.availability.acceptsRequests(now);
   }
 
   /** Returns whether an upstream may get new requests once its requested backoff, if any, has ended. */
@@ -177,7 +177,7 @@
 
   /** Remembers the availability of a removed instance that accepts no requests at present. */
   private rememberAvailability(upstream: Upstream): void {
-    if (upstream.availability.takesRequests(readClock())) return;
+    if (upstream.availability.acceptsRequests(readClock())) return;
     this.rememberedInstances.delete(upstream.id);
     this.rememberedInstances.set(upstream.id, upstream);
     if (this.rememberedInstances.size <= MAX_REMEMBERED_INSTANCES) return;
@@ -195,7 +195,7 @@
       );
       this.options.onRestart(known);
     }
-    this.drop(known);
+    this.remove(known);
   }
 
   private handleAvailabilityChange(
@@ -203,8 +203,8 @@
     change: AvailabilityChange,
   ): void {
     const backoffMs = upstream.availability.getBackoffMs(readClock());
-    logAvailability(this.options.logger, upstream.id, change, backoffMs);
-    this.options.onAvailability(change);
+    logAvailabilityChange(this.options.logger, upstream.id, change, backoffMs);
+    this.options.onAvailabilityChange(change);
   }
 
   private handleMissingEntry(id: string): void {
@@ -212,7 +212,7 @@
     if (!known) return;
     const now = readClock();
     const maxLapseEndsAt = now +
-      this.options.leaveWithinMs * LAPSE_GRACE_FRACTION;
+      this.options.leaveTimeoutMs * LAPSE_GRACE_FRACTION;
     const lapseEndsAt = Math.min(maxLapseEndsAt, this.options.getLapseEndsAt());
     if (lapseEndsAt <= now) return this.removeUnlisted(known);
     known.lapseEndsAt = lapseEndsAt;
@@ -225,7 +225,7 @@
   /** Removes an upstream that is no longer listed; it still counts as present for a short time. */
   private removeUnlisted(upstream: Upstream): void {
     this.unlisted.set(upstream, readClock());
-    this.drop(upstream);
+    this.remove(upstream);
   }
 
   private rebuildService(service: string): void {
--- a/tests/admission/start_admission_test.ts
+++ b/tests/admission/admission_controller_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { ArrivalRate } from "../../src/admission/arrival_rate.ts";
-import { StartAdmission } from "../../src/admission/start_admission.ts";
+import { AdmissionController } from "../../src/admission/admission_controller.ts";
 import { Random } from "../../src/random/random.ts";
 
 const PART = 7;
@@ -17,8 +17,8 @@
 }
 
 function countStarts(isPopular: boolean, foreign: number): number {
-  const admission = StartAdmission.create(Random.create(1));
-  admission.noteCompleted("s", "r", 1_000);
+  const admission = AdmissionController.create(Random.create(1));
+  admission.recordCompletion("s", "r", 1_000);
   const target = createTarget(foreign);
   const request = { service: "s", route: "r", isPopular };
   let starts = 0;
@@ -29,7 +29,7 @@
 }
 
 test("a prompt is popular once it has been requested more than once within a short time", (t) => {
-  const admission = StartAdmission.create(Random.create(1));
+  const admission = AdmissionController.create(Random.create(1));
   t.false(admission.recordRequest(PART, 0));
   t.true(admission.recordRequest(PART, 300));
   t.false(admission.recordRequest(PART, 10_000));
--- a/tests/admission/start_probability_test.ts
+++ b/tests/admission/admission_probability_test.ts
@@ -5,7 +5,7 @@
   computeCompletedFraction,
   computeHeadroom,
   type UpstreamLoad,
-} from "../../src/admission/start_probability.ts";
+} from "../../src/admission/admission_probability.ts";
 
 const EXACT_LOAD: UpstreamLoad = {
   bound: 13,
--- a/tests/crashes/crash_detector_test.ts
+++ b/tests/crashes/crash_detector_test.ts
@@ -17,7 +17,7 @@
 
 const UPSTREAM: CheckedUpstream = {
   id: "u-1",
-  shortName: 1,
+  instanceHash: 1,
   address: "127.0.0.1:1",
   isEndExpected: false,
 };
@@ -88,8 +88,8 @@
   detector.recordInterruption(UPSTREAM, interrupt(1));
   await completeCheck("undecided");
   t.deepEqual(affected, []);
-  detector.recordRemoval(UPSTREAM.shortName);
-  detector.recordRemoval(UPSTREAM.shortName);
+  detector.recordRemoval(UPSTREAM.instanceHash);
+  detector.recordRemoval(UPSTREAM.instanceHash);
   t.deepEqual(affected, [1]);
   detector.close();
 });
--- a/tests/forward/attempt_test.ts
+++ b/tests/forward/attempt_test.ts
@@ -173,7 +173,7 @@
     `${DECLINE_HEAD}Retry-After: 5\r\nContent-Length: 0\r\n\r\n`,
   );
   t.is(result.type === "declined" && result.status, 503);
-  t.false(upstream.availability.takesRequests(performance.now()));
+  t.false(upstream.availability.acceptsRequests(performance.now()));
   t.is(upstream.ownRequests, 0);
   t.deepEqual(calls, []);
 });
--- a/tests/forward/call_run_test.ts
+++ b/tests/forward/call_run_test.ts
@@ -120,7 +120,7 @@
   const received = await forwardCall(
     [neverResponds, respondsOk],
     { objectiveMs: 100 },
-    { prepare: ([first]) => first!.heardAt = Infinity },
+    { prepare: ([first]) => first!.lastReceivedAt = Infinity },
   );
   t.is(received.status, 200);
   t.is(received.outcome.attempts, 2);
@@ -136,7 +136,7 @@
     [slow, respondsOk],
     { objectiveMs: 100 },
     {
-      prepare: ([first]) => first!.heardAt = Infinity,
+      prepare: ([first]) => first!.lastReceivedAt = Infinity,
       sharedParts: [{ name: 1, tokens: 10_000 }],
     },
   );
@@ -233,7 +233,7 @@
     {
       prepare: ([upstream]) => first = upstream,
       onStart: () =>
-        first!.availability.note(
+        first!.availability.recordNotice(
           { backoffMs: 60_000, isLeaving: false },
           performance.now(),
         ),
--- a/tests/forward/run_call.ts
+++ b/tests/forward/run_call.ts
@@ -11,7 +11,7 @@
 import { CallerAnswer } from "../../src/forward/caller_answer.ts";
 import type { RoutedCall } from "../../src/forward/routed_call.ts";
 import type { Route } from "../../src/published/configuration_schema.ts";
-import type { SentPart } from "../../src/upstreams/prefix_index.ts";
+import type { HashedPromptPart } from "../../src/upstreams/prefix_index.ts";
 import { LoadCounts } from "../../src/upstreams/load_counts.ts";
 import { Upstream } from "../../src/upstreams/upstream.ts";
 import { buildRoute } from "../published/build_published.ts";
@@ -33,7 +33,7 @@
   /** Called with the upstreams before the call. */
   prepare?: (upstreams: readonly Upstream[]) => void;
   /** Shared parts of the call's prompt. */
-  sharedParts?: readonly SentPart[];
+  sharedParts?: readonly HashedPromptPart[];
   /** Time after which a refused caller may retry, from the upstreams' backoffs, in milliseconds. */
   retryAfterMs?: number;
   /** Overrides for the crash access. */
@@ -42,7 +42,7 @@
 
 function buildCall(
   route: Route,
-  sharedParts: readonly SentPart[],
+  sharedParts: readonly HashedPromptPart[],
 ): RoutedCall {
   const rawHeaders = [
     "Host",
--- a/tests/gateway/prefix_recovery_test.ts
+++ b/tests/gateway/prefix_recovery_test.ts
@@ -66,8 +66,8 @@
   });
   await recovery.run();
   await exchange.close();
-  const part = PrefixIndex.nameOf("c0ffee");
-  const { length: caching } = prefixes.getSightings(part, performance.now());
+  const part = PrefixIndex.hashPartId("c0ffee");
+  const { length: caching } = prefixes.getHolders(part, performance.now());
   return { asked, caching, engines };
 }
 
@@ -92,7 +92,7 @@
 test("an engine that requested a backoff is not asked for its list", async (t) => {
   const { asked } = await recoverWithoutPeers(3, {
     prepare: ([first]) =>
-      first!.availability.note(
+      first!.availability.recordNotice(
         { backoffMs: 60_000, isLeaving: false },
         performance.now(),
       ),
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -138,11 +138,11 @@
       getSeeds: () => [getAddress(0)],
       describeSelf: () => ({
         ...own,
-        loads: chooser.loads.getOwn(chooser.upstreams.getAll()),
+        loads: chooser.loads.getOwnCounts(chooser.upstreams.getAll()),
       }),
-      takeFacts: () => chooser.prefixes.takeFacts(),
-      hasFacts: () => chooser.prefixes.hasUntold,
-      onFacts: (facts) => chooser.prefixes.learn(facts, timeline.read()),
+      takeFacts: () => chooser.prefixes.takeUpdates(),
+      hasFacts: () => chooser.prefixes.hasPendingUpdates,
+      onFacts: (facts) => chooser.prefixes.applyUpdates(facts, timeline.read()),
       onEntry: (entry, heardAt) =>
         recordPeerLoads(chooser.loads, entry, heardAt, gossip.isLargeFleet),
       readHosts: (other, done) => this.readHosts(other, done),
@@ -205,10 +205,10 @@
   private sharePrefixUpdates(index: number): void {
     const { gossip, chooser } = this.hosts[index]!;
     if (!gossip.isLargeFleet) return gossip.announce();
-    const facts = chooser.prefixes.takeAllFacts();
+    const facts = chooser.prefixes.takeAllUpdates();
     this.timeline.after(PREFIX_PROPAGATION_MS, () => {
       for (const host of this.hosts) {
-        host.chooser.prefixes.learn(facts, this.timeline.read());
+        host.chooser.prefixes.applyUpdates(facts, this.timeline.read());
       }
     });
   }
--- a/tests/hashing/host_ring_test.ts
+++ b/tests/hashing/consistent_hash_ring_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import test from "ava";
-import { HostRing } from "../../src/hashing/host_ring.ts";
+import { ConsistentHashRing } from "../../src/hashing/consistent_hash_ring.ts";
 
 const names = fc.uniqueArray(fc.string({ minLength: 1 }), { maxLength: 30 });
 const position = fc.integer({ min: 0, max: 2 ** 32 - 1 });
@@ -10,8 +10,11 @@
     names,
     position,
     (all, keyPosition) => {
-      const following = HostRing.create(all).getFollowing(keyPosition, 2);
-      const again = HostRing.create([...all].reverse()).getFollowing(
+      const following = ConsistentHashRing.create(all).getSuccessors(
+        keyPosition,
+        2,
+      );
+      const again = ConsistentHashRing.create([...all].reverse()).getSuccessors(
         keyPosition,
         2,
       );
@@ -27,9 +30,13 @@
 
 test("removing a name moves no keys of other names", (t) => {
   const staysInPlace = fc.property(names, position, (all, keyPosition) => {
-    const [first] = HostRing.create(all).getFollowing(keyPosition, 1);
+    const [first] = ConsistentHashRing.create(all).getSuccessors(
+      keyPosition,
+      1,
+    );
     const rest = all.filter((name, index) => index > 0 || name === first);
-    return HostRing.create(rest).getFollowing(keyPosition, 1)[0] === first;
+    return ConsistentHashRing.create(rest).getSuccessors(keyPosition, 1)[0] ===
+      first;
   });
   t.notThrows(() => fc.assert(staysInPlace, { seed: 2, numRuns: 1_000 }));
 });
--- a/tests/hashing/request_fingerprint_test.ts
+++ b/tests/hashing/request_fingerprint_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import {
-  describeFingerprint,
   fingerprintRequest,
+  formatFingerprint,
   type RequestIdentity,
 } from "../../src/hashing/request_fingerprint.ts";
 
@@ -25,7 +25,7 @@
 test("equal requests have the same fingerprint", (t) => {
   const again = { ...IDENTITY, body: Buffer.from("body") };
   t.is(fingerprintRequest(again), fingerprintRequest(IDENTITY));
-  t.regex(describeFingerprint(fingerprintRequest(IDENTITY)), /^[0-9a-f]{12}$/);
+  t.regex(formatFingerprint(fingerprintRequest(IDENTITY)), /^[0-9a-f]{12}$/);
 });
 
 for (const [difference, change] of Object.entries(DIFFERENCES)) {
--- a/tests/owner/upstream_registry_test.ts
+++ b/tests/owner/upstream_registry_test.ts
@@ -45,7 +45,7 @@
   const { registry, setOtherRouters } = createRegistry();
   setOtherRouters([]);
   const notice = { backoffMs: 60_000, isLeaving: false };
-  registry.getUpstream(UPSTREAM.id)!.client.availability.note(
+  registry.getUpstream(UPSTREAM.id)!.client.availability.recordNotice(
     notice,
     performance.now(),
   );
--- a/tests/peers/prefix_directory_test.ts
+++ b/tests/peers/prefix_directory_test.ts
@@ -5,7 +5,7 @@
 import { type TestSocket, withSockets } from "./with_sockets.ts";
 
 const HOSTS = 14;
-const PART = PrefixIndex.nameOf("c0ffee");
+const PART = PrefixIndex.hashPartId("c0ffee");
 const ENGINE = 4711;
 
 interface TestHost {
@@ -31,7 +31,7 @@
 
 function countHostsKnowingPart(hosts: readonly TestHost[]): number {
   const now = performance.now();
-  return hosts.filter(({ prefixes }) => prefixes.isKept(PART, ENGINE, now))
+  return hosts.filter(({ prefixes }) => prefixes.isCached(PART, ENGINE, now))
     .length;
 }
 
@@ -49,7 +49,7 @@
     for (const { directory, prefixes } of others) {
       await waitUntil("the host knows the part", async () => {
         await directory.learn(PART);
-        return prefixes.isKept(PART, ENGINE, performance.now());
+        return prefixes.isCached(PART, ENGINE, performance.now());
       });
     }
     t.is(countHostsKnowingPart(others), HOSTS - 1);
@@ -61,7 +61,7 @@
   await withSockets(1, async (sockets) => {
     const [host] = startHosts(sockets);
     t.is(host!.directory.learn(PART), undefined);
-    host!.prefixes.learn([[PART, ENGINE, 0]], performance.now());
+    host!.prefixes.applyUpdates([[PART, ENGINE, 0]], performance.now());
     t.is(host!.directory.learn(PART), undefined);
     host!.directory.close();
     await Promise.resolve();
@@ -78,7 +78,7 @@
       getHosts: () => [sockets[1]!.address],
     });
     await directory.learn(PART);
-    t.false(requester!.prefixes.isKeptAnywhere(PART, performance.now()));
+    t.false(requester!.prefixes.isCachedAnywhere(PART, performance.now()));
     directory.close();
   });
 });
--- a/tests/upstreams/availability_test.ts
+++ b/tests/upstreams/availability_test.ts
@@ -11,7 +11,7 @@
   const changes: AvailabilityChange[] = [];
   availability.onChange = (change) => changes.push(change);
   const requestBackoff = (backoffMs: number, now: number) =>
-    availability.note({ backoffMs, isLeaving: false }, now);
+    availability.recordNotice({ backoffMs, isLeaving: false }, now);
   return { availability, changes, requestBackoff };
 }
 
@@ -19,8 +19,8 @@
   const { availability, changes, requestBackoff } = create();
   requestBackoff(3_000, 0);
   requestBackoff(500, 1_000);
-  t.false(availability.takesRequests(2_999));
-  t.true(availability.takesRequests(3_000));
+  t.false(availability.acceptsRequests(2_999));
+  t.true(availability.acceptsRequests(3_000));
   requestBackoff(1_000, 2_500);
   t.is(availability.getBackoffMs(3_000), 500);
   t.deepEqual(changes, ["backs_off"]);
@@ -29,8 +29,8 @@
 test("an excessive backoff excludes an upstream for minutes, not permanently", (t) => {
   const { availability, requestBackoff } = create();
   requestBackoff(1_000 * HOUR_MS, 0);
-  t.false(availability.takesRequests(60_000));
-  t.true(availability.takesRequests(HOUR_MS));
+  t.false(availability.acceptsRequests(60_000));
+  t.true(availability.acceptsRequests(HOUR_MS));
 });
 
 test("after a backoff one trial request is sent, and the limit doubles with each accepted one", (t) => {
@@ -39,14 +39,14 @@
   requestBackoff(100, 0);
   for (const limit of [1, 2, 4, 8]) {
     for (let index = 0; index < limit; index++) {
-      t.true(availability.hasRoom(100));
+      t.true(availability.hasCapacity(100));
       t.true(availability.beginRequest());
     }
-    t.false(availability.hasRoom(100));
+    t.false(availability.hasCapacity(100));
     for (let index = 1; index < limit; index++) availability.endTrial(false);
     availability.endTrial(true);
   }
-  t.true(availability.hasRoom(100));
+  t.true(availability.hasCapacity(100));
   t.false(availability.beginRequest());
   t.deepEqual(changes, ["backs_off", "reopened"]);
 });
@@ -59,20 +59,20 @@
   availability.beginRequest();
   requestBackoff(100, 200);
   availability.endTrial(false);
-  t.false(availability.takesRequests(299));
+  t.false(availability.acceptsRequests(299));
   t.true(availability.beginRequest());
-  t.false(availability.hasRoom(300));
+  t.false(availability.hasCapacity(300));
 });
 
 test("an upstream that announced leaving accepts no more requests, whatever it announces later", (t) => {
   const { availability, changes } = create();
   const receiveNotice = (isLeaving: boolean) =>
-    availability.note({ backoffMs: undefined, isLeaving }, 0);
+    availability.recordNotice({ backoffMs: undefined, isLeaving }, 0);
   receiveNotice(true);
   receiveNotice(false);
   receiveNotice(true);
   t.true(availability.isLeaving);
-  t.false(availability.takesRequests(HOUR_MS));
+  t.false(availability.acceptsRequests(HOUR_MS));
   t.deepEqual(changes, ["leaves"]);
 });
 
@@ -80,10 +80,10 @@
   const { availability } = create();
   let now = 0;
   const measureDeclineBackoffMs = () => {
-    availability.noteFull(now);
-    availability.noteFull(now + 1);
+    availability.recordDecline(now);
+    availability.recordDecline(now + 1);
     const declinedAt = now;
-    while (!availability.hasRoom(now)) now += 10;
+    while (!availability.hasCapacity(now)) now += 10;
     return now - declinedAt;
   };
   t.deepEqual(
@@ -91,7 +91,7 @@
     [150, 300, 600, 1_200, 2_400, 2_400],
   );
   t.true(availability.beginRequest());
-  availability.noteTaken();
+  availability.recordAccepted();
   availability.endTrial(true);
   t.is(measureDeclineBackoffMs(), 150);
 });
--- a/tests/upstreams/choose_upstream_test.ts
+++ b/tests/upstreams/choose_upstream_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import test from "ava";
-import { StartAdmission } from "../../src/admission/start_admission.ts";
+import { AdmissionController } from "../../src/admission/admission_controller.ts";
 import { Random } from "../../src/random/random.ts";
 import {
   type ChoiceOptions,
@@ -12,7 +12,7 @@
 import { Upstream } from "../../src/upstreams/upstream.ts";
 import { buildUpstream } from "../published/build_published.ts";
 
-const CHAT = [{ name: PrefixIndex.nameOf("chat"), tokens: 500 }];
+const CHAT = [{ name: PrefixIndex.hashPartId("chat"), tokens: 500 }];
 
 function chooseUpstream(options: ChoiceOptions): Upstream | undefined {
   return chooseUpstreamWithBasis(options)?.upstream;
@@ -33,13 +33,13 @@
   return {
     candidates,
     present: candidates,
-    tried: new Set(),
+    triedIds: new Set(),
     sharedParts: [],
-    isCautious: false,
+    avoidsSuspects: false,
     boundMultiple: 2,
     service: "s",
     route: "r",
-    admission: StartAdmission.create(Random.create(2)),
+    admission: AdmissionController.create(Random.create(2)),
     loads: LoadCounts.create(),
     prefixes: PrefixIndex.create(),
     hall: "h",
@@ -60,7 +60,7 @@
   );
   t.is(first?.id, chosenByOtherHost?.id);
   const other = upstreams.find((upstream) => upstream !== first)!;
-  prefixes.noteSent(CHAT, other.shortName, false, 0);
+  prefixes.recordSent(CHAT, other.instanceHash, false, 0);
   const again = chooseUpstream(
     buildOptions(upstreams, { sharedParts: CHAT, prefixes }),
   );
@@ -75,10 +75,10 @@
       const upstreams = createUpstreams(count);
       const options = buildOptions(upstreams);
       return chats.every((chat) => {
-        const name = PrefixIndex.nameOf(`chat-${chat}`);
+        const name = PrefixIndex.hashPartId(`chat-${chat}`);
         const sharedParts = [{ name, tokens: 100 }];
         const chosen = chooseUpstream({ ...options, sharedParts })!;
-        options.prefixes.noteSent(sharedParts, chosen.shortName, false, 0);
+        options.prefixes.recordSent(sharedParts, chosen.instanceHash, false, 0);
         chosen.ownRequests += 1;
         const total = upstreams.reduce(
           (sum, upstream) => sum + upstream.ownRequests,
@@ -93,15 +93,17 @@
 
 test("a request that can't be repeated avoids an upstream that failed recently", (t) => {
   const upstreams = createUpstreams(2);
-  upstreams[0]!.health.note("silent", 0);
+  upstreams[0]!.health.recordSignal("silent", 0);
   upstreams[1]!.ownRequests = 2;
-  const cautious = buildOptions(upstreams, { isCautious: true });
+  const cautious = buildOptions(upstreams, { avoidsSuspects: true });
   t.is(chooseUpstream(cautious), upstreams[1]);
 });
 
 test("if all upstreams are ejected, one of them is used all the same", (t) => {
   const upstreams = createUpstreams(2);
-  for (const upstream of upstreams) upstream.health.note("unreachable", 0);
+  for (const upstream of upstreams) {
+    upstream.health.recordSignal("unreachable", 0);
+  }
   t.truthy(chooseUpstream(buildOptions(upstreams, { now: 1 })));
 });
 
@@ -109,8 +111,8 @@
   const upstreams = createUpstreams(3);
   const prefixes = PrefixIndex.create();
   const parts = [{ name: 1, tokens: 10 }, { name: 2, tokens: 20 }];
-  prefixes.noteSent(parts.slice(0, 1), upstreams[0]!.shortName, false, 0);
-  prefixes.noteSent(parts, upstreams[1]!.shortName, false, 0);
+  prefixes.recordSent(parts.slice(0, 1), upstreams[0]!.instanceHash, false, 0);
+  prefixes.recordSent(parts, upstreams[1]!.instanceHash, false, 0);
   const find = (target: Upstream) =>
     findFetchSource(parts, target, upstreams, prefixes, 0);
   t.is(find(upstreams[2]!), upstreams[1]);
@@ -137,16 +139,16 @@
   const upstreams = createUpstreams(4);
   const cachingEngine = upstreams[0]!;
   const prefixes = PrefixIndex.create();
-  prefixes.noteSent(CHAT, cachingEngine.shortName, false, 0);
-  const counts: LoadCount[] = upstreams.map(({ shortName }) => [
+  prefixes.recordSent(CHAT, cachingEngine.instanceHash, false, 0);
+  const counts: LoadCount[] = upstreams.map(({ instanceHash: shortName }) => [
     shortName,
-    shortName === cachingEngine.shortName ? 12 : 4,
+    shortName === cachingEngine.instanceHash ? 12 : 4,
   ]);
-  const admission = StartAdmission.create(Random.create(3));
-  admission.noteCompleted("s", "r", 1_000);
+  const admission = AdmissionController.create(Random.create(3));
+  admission.recordCompletion("s", "r", 1_000);
   const choose = (ageMs: number) => {
     const loads = LoadCounts.create();
-    loads.record("other", { toldAt: -ageMs, usedUntil: 1_000, counts });
+    loads.record("other", { reportedAt: -ageMs, expiresAt: 1_000, counts });
     return chooseUpstream(
       buildOptions(upstreams, {
         sharedParts: CHAT,
--- a/tests/upstreams/load_counts_test.ts
+++ b/tests/upstreams/load_counts_test.ts
@@ -10,9 +10,9 @@
   upstream.ownRequests = 2;
   const record = (hostId: string, requests: number) =>
     loads.record(hostId, {
-      toldAt: performance.now(),
-      usedUntil: inOneMinute,
-      counts: [[upstream.shortName, requests]],
+      reportedAt: performance.now(),
+      expiresAt: inOneMinute,
+      counts: [[upstream.instanceHash, requests]],
     });
   record("a", 5);
   record("a", 3);
@@ -24,9 +24,9 @@
   const upstream = Upstream.create(buildUpstream());
   const loads = LoadCounts.create();
   loads.record("a", {
-    toldAt: performance.now() - 2,
-    usedUntil: performance.now() - 1,
-    counts: [[upstream.shortName, 5]],
+    reportedAt: performance.now() - 2,
+    expiresAt: performance.now() - 1,
+    counts: [[upstream.instanceHash, 5]],
   });
   t.is(loads.getTotalRequests(upstream, performance.now()), 0);
 });
--- a/tests/upstreams/prefix_index_test.ts
+++ b/tests/upstreams/prefix_index_test.ts
@@ -10,19 +10,19 @@
 
 test("queued updates are returned once, one datagram at a time or all together", (t) => {
   const prefixes = PrefixIndex.create();
-  prefixes.noteSent(PARTS, ENGINE, false, 0);
-  const first = prefixes.takeFacts();
+  prefixes.recordSent(PARTS, ENGINE, false, 0);
+  const first = prefixes.takeUpdates();
   t.true(first.length > 0 && first.length < PARTS.length);
-  t.is(first.length + prefixes.takeAllFacts().length, PARTS.length);
-  t.false(prefixes.hasUntold);
+  t.is(first.length + prefixes.takeAllUpdates().length, PARTS.length);
+  t.false(prefixes.hasPendingUpdates);
 });
 
 test("an entry from another host is merged with its age, and more recent local entries are kept", (t) => {
   const prefixes = PrefixIndex.create();
-  prefixes.recall(1, [[ENGINE, 20_000]], 20_000);
-  t.true(prefixes.isKept(1, ENGINE, 20_000));
-  t.false(prefixes.isKept(1, ENGINE, 40_000));
-  prefixes.learn([[1, ENGINE, 0]], 30_000);
-  prefixes.recall(1, [[ENGINE, 25_000]], 30_000);
-  t.true(prefixes.isKept(1, ENGINE, 40_000));
+  prefixes.mergeHolders(1, [[ENGINE, 20_000]], 20_000);
+  t.true(prefixes.isCached(1, ENGINE, 20_000));
+  t.false(prefixes.isCached(1, ENGINE, 40_000));
+  prefixes.applyUpdates([[1, ENGINE, 0]], 30_000);
+  prefixes.mergeHolders(1, [[ENGINE, 25_000]], 30_000);
+  t.true(prefixes.isCached(1, ENGINE, 40_000));
 });
--- a/tests/upstreams/retry_share_test.ts
+++ b/tests/upstreams/retry_budget_share_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import test from "ava";
 import { Random } from "../../src/random/random.ts";
-import { RetryShare } from "../../src/upstreams/retry_share.ts";
+import { RetryBudgetShare } from "../../src/upstreams/retry_budget_share.ts";
 
 const WINDOW_MS = 10_000;
 
@@ -13,14 +13,17 @@
       { minLength: 10, maxLength: 300 },
     ),
     (hosts, steps) => {
-      const shares = Array.from({ length: hosts }, () =>
-        RetryShare.create({
-          ratio: 0.2,
-          extra: 50,
-          windowMs: WINDOW_MS,
-          countHosts: () => hosts,
-          random: Random.create(hosts),
-        }));
+      const shares = Array.from(
+        { length: hosts },
+        () =>
+          RetryBudgetShare.create({
+            ratio: 0.2,
+            extra: 50,
+            windowMs: WINDOW_MS,
+            countHosts: () => hosts,
+            random: Random.create(hosts),
+          }),
+      );
       let now = 0;
       const requests: number[] = [];
       const retries: number[] = [];
@@ -28,9 +31,9 @@
         now += gapMs;
         const share = shares[index % hosts]!;
         if (!isRetry) {
-          share.noteRequest(now);
+          share.recordRequest(now);
           requests.push(now);
-        } else if (share.spend(now)) retries.push(now);
+        } else if (share.tryAcquire(now)) retries.push(now);
         const isInWindow = (at: number) => at > now - WINDOW_MS;
         const allowed = 0.2 * requests.filter(isInWindow).length + 50;
         return retries.filter(isInWindow).length <= allowed;
@@ -51,7 +54,7 @@
 function runWithFailures(hosts: number, requestsPerSecond: number) {
   const random = Random.create(hosts);
   const shares = Array.from({ length: hosts }, () =>
-    RetryShare.create({
+    RetryBudgetShare.create({
       ratio: RATIO,
       extra: EXTRA,
       windowMs: WINDOW_MS,
@@ -63,13 +66,13 @@
   let failures = 0;
   for (let now = 0; now < 20_000; now += 1_000 / requestsPerSecond) {
     const share = random.pick(shares);
-    share.noteRequest(now);
+    share.recordRequest(now);
     requests.push(now);
     const isFailing = now >= FAILURES.fromMs && now < FAILURES.untilMs &&
       random.fraction() < FAILURES.part;
     if (!isFailing) continue;
     failures += 1;
-    if (share.spend(now)) retries.push(now);
+    if (share.tryAcquire(now)) retries.push(now);
   }
   return { requests, retries, failures };
 }
--- a/tests/upstreams/upstream_table_test.ts
+++ b/tests/upstreams/upstream_table_test.ts
@@ -19,10 +19,10 @@
   return UpstreamTable.create({
     logger: pino({ level: "silent" }),
     getLapseEndsAt: () => lapseEndsAt,
-    leaveWithinMs: 60_000,
+    leaveTimeoutMs: 60_000,
     onRestart: (before) => restarted.push(before),
-    onAvailability: () => undefined,
-    onDrop: () => undefined,
+    onAvailabilityChange: () => undefined,
+    onRemove: () => undefined,
   });
 }
 
@@ -77,13 +77,13 @@
   };
   list(1, 5);
   const first = getOnly();
-  first.health.note("unreachable", performance.now());
+  first.health.recordSignal("unreachable", performance.now());
   list(2, 5);
   t.is(getOnly(), first);
   list(3, 9);
   const second = getOnly();
   t.not(second, first);
-  t.not(second.shortName, first.shortName);
+  t.not(second.instanceHash, first.instanceHash);
   t.false(second.health.isSuspect);
   t.true(first.isRemoved);
   t.deepEqual(restarted, [first]);
@@ -93,7 +93,7 @@
   const table = createTable(-1);
   table.apply([LISTED]);
   const [only] = table.getServing("s");
-  t.is(table.findByShortName(only!.shortName), only);
+  t.is(table.findByInstanceHash(only!.instanceHash), only);
   only!.crashedAt = performance.now();
   t.deepEqual(table.getServing("s"), []);
   only!.crashedAt = performance.now() - 3_001;
