--- a/src/crashes/crash_gossip.ts
+++ b/src/crashes/crash_gossip.ts
@@ -1,5 +1,5 @@
 import { readClock } from "../clock/clock.ts";
-import { SMALL_FLEET } from "../peers/host_table.ts";
+import { SMALL_FLEET_MAX_HOSTS } from "../peers/host_table.ts";
 import { Random } from "../random/random.ts";
 import type { CrashStore } from "./crash_memory.ts";
 import type { CrashWord } from "./crash_word.ts";
@@ -67,7 +67,7 @@
       readClock(),
     );
     const hosts = this.random.shuffle(getHosts());
-    const receivers = hosts.length <= SMALL_FLEET
+    const receivers = hosts.length <= SMALL_FLEET_MAX_HOSTS
       ? hosts
       : hosts.slice(0, LARGE_FLEET_FANOUT);
     for (const host of receivers) this.send(host, reports);
--- a/src/gateway/host_exchange.ts
+++ b/src/gateway/host_exchange.ts
@@ -5,7 +5,7 @@
 import { HOST_STATUSES } from "../peers/host_rumour.ts";
 import type { HostState } from "../peers/known_host.ts";
 import { packEntry } from "../peers/pack_gossip.ts";
-import { answerPacked, PackedClient } from "../peers/packed_client.ts";
+import { MsgpackClient, sendMsgpack } from "../peers/msgpack_client.ts";
 
 /** Path under which a host serves all hosts that it knows to other hosts. */
 export const HOSTS_PATH = "/hosts";
@@ -20,7 +20,7 @@
 
 /** Exchanges the lists of known hosts with other hosts. */
 export class HostExchange {
-  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
+  private readonly client = MsgpackClient.create(RESPONSE_TIMEOUT_MS);
 
   private constructor(
     private readonly logger: Logger,
@@ -45,14 +45,14 @@
       status,
       Math.round(agoMs),
     ]);
-    answerPacked(response, states);
+    sendMsgpack(response, states);
   }
 
   /** Fetches all hosts that a host knows; returns undefined if it does not respond.
    * @param host The host. */
   async fetch(host: PeerEntry): Promise<readonly HostState[] | undefined> {
     try {
-      const response = await this.client.ask(host.peerAddress, HOSTS_PATH);
+      const response = await this.client.get(host.peerAddress, HOSTS_PATH);
       const states = statesSchema.parse(response);
       this.logger.info({ peer: host.id, hosts: states.length }, "hosts_read");
       return states;
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -1,14 +1,14 @@
 import { readClock } from "../clock/clock.ts";
 import type { CrashGuard } from "../crashes/crash_guard.ts";
 import type { Logger } from "../logging/logger.ts";
-import { AgeQuestions } from "../peers/age_questions.ts";
+import { PublicationStatusPoller } from "../peers/publication_status_poller.ts";
 import { CrashGossip } from "../crashes/crash_gossip.ts";
 import { DatagramSocket } from "../peers/datagram_socket.ts";
 import { Gossip } from "../peers/gossip.ts";
 import type { PeerEntry } from "../peers/gossip_schema.ts";
 import type { KnownHost } from "../peers/known_host.ts";
 import { PrefixDirectory } from "../peers/prefix_directory.ts";
-import type { PublicationWord } from "../peers/publication_word.ts";
+import type { PublicationStatus } from "../peers/publication_status.ts";
 import type { PublicationKeeper } from "../published/publication_keeper.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
@@ -41,7 +41,7 @@
   /** Serves the list of all known hosts to other hosts, and fetches theirs. */
   readonly hostExchange: HostExchange;
   private readonly gossip: Gossip;
-  private readonly ageQueries: AgeQuestions;
+  private readonly ageQueries: PublicationStatusPoller;
   private readonly directory: PrefixDirectory;
   private readonly crashGossip: CrashGossip;
 
@@ -55,11 +55,11 @@
       () => this.gossip.getHostStates(),
     );
     this.gossip = this.createGossip(gossipAddress);
-    this.ageQueries = AgeQuestions.create({
+    this.ageQueries = PublicationStatusPoller.create({
       socket,
       getSources: () => this.getGossipAddresses(options.getSourceIds()),
-      getWord: () => this.getPublicationSummary(),
-      onWord: (sender, summary, askedAt) => {
+      getStatus: () => this.getPublicationSummary(),
+      onStatus: (sender, summary, askedAt) => {
         const host = this.gossip.hosts.getHost(sender);
         if (host) this.reconcilePublication(host.entry, summary, askedAt);
       },
@@ -111,7 +111,7 @@
   /** Announces soon to other hosts which engines were sent which prompt parts. */
   announcePrefixUpdates(): void {
     if (this.gossip.isLargeFleet) {
-      this.directory.tell(this.options.chooser.prefixes.takeAllUpdates());
+      this.directory.publish(this.options.chooser.prefixes.takeAllUpdates());
     } else this.gossip.announce();
   }
 
@@ -119,7 +119,7 @@
    * other host is asked.
    * @param part Short name of the part. */
   lookUpPart(part: number): Promise<void> | undefined {
-    return this.gossip.isLargeFleet ? this.directory.learn(part) : undefined;
+    return this.gossip.isLargeFleet ? this.directory.lookUp(part) : undefined;
   }
 
   /** Ends the communication and closes the socket. */
@@ -165,7 +165,7 @@
     });
   }
 
-  private getPublicationSummary(): PublicationWord {
+  private getPublicationSummary(): PublicationStatus {
     const { ageMs, digest, revision } = this.options.published;
     const publicationAgeMs = Number.isFinite(ageMs) ? ageMs : -1;
     return { digest, revision, publicationAgeMs };
@@ -201,7 +201,7 @@
    * recent as the host's; a fresher host is asked for its state. */
   private reconcilePublication(
     host: PeerEntry,
-    summary: PublicationWord,
+    summary: PublicationStatus,
     askedAt: number,
   ): void {
     const { published, publicationExchange } = this.options;
--- a/src/gateway/prefix_exchange.ts
+++ b/src/gateway/prefix_exchange.ts
@@ -1,8 +1,8 @@
 import { readClock } from "../clock/clock.ts";
 import type { ServerResponse } from "node:http";
 import type { Logger } from "../logging/logger.ts";
-import { answerPacked, PackedClient } from "../peers/packed_client.ts";
-import { prefixFactsSchema } from "../peers/told_schemas.ts";
+import { MsgpackClient, sendMsgpack } from "../peers/msgpack_client.ts";
+import { prefixFactsSchema } from "../peers/message_schemas.ts";
 import type { PrefixIndex } from "../upstreams/prefix_index.ts";
 
 /** Path under which a host serves to other hosts which engines have which prompt parts cached. */
@@ -15,7 +15,7 @@
 
 /** Exchanges with other hosts which engines have which prompt parts cached. */
 export class PrefixExchange {
-  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
+  private readonly client = MsgpackClient.create(RESPONSE_TIMEOUT_MS);
 
   private constructor(
     private readonly prefixes: PrefixIndex,
@@ -38,14 +38,14 @@
       return;
     }
     const entries = this.prefixes.getRecentUpdates(MAX_ENTRIES, readClock());
-    answerPacked(response, entries);
+    sendMsgpack(response, entries);
   }
 
   /** Fetches the index of a host; returns whether the host had a complete one.
    * @param address Peer address of the host, as ip:port. */
   async fetch(address: string): Promise<boolean> {
     try {
-      const response = await this.client.ask(address, PREFIXES_PATH);
+      const response = await this.client.get(address, PREFIXES_PATH);
       if (response === undefined) return false;
       const entries = prefixFactsSchema.parse(response);
       this.prefixes.applyUpdates(entries, readClock());
--- a/src/gateway/publication_exchange.ts
+++ b/src/gateway/publication_exchange.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from "node:http";
 import { z } from "zod";
 import type { Logger } from "../logging/logger.ts";
-import { answerPacked, PackedClient } from "../peers/packed_client.ts";
+import { MsgpackClient, sendMsgpack } from "../peers/msgpack_client.ts";
 import type { PublishedConfiguration } from "../published/configuration_schema.ts";
 import {
   packConfiguration,
@@ -39,7 +39,7 @@
 
 /** Exchanges the publication with other hosts. */
 export class PublicationExchange {
-  private readonly client = PackedClient.create(RESPONSE_TIMEOUT_MS);
+  private readonly client = MsgpackClient.create(RESPONSE_TIMEOUT_MS);
   private isFetching = false;
   private needsFullState = false;
   private packedConfiguration: { version: number; bytes: Buffer } | undefined;
@@ -67,7 +67,7 @@
     const after = Number(query.get("after") ?? 0);
     const { ageMs, configuration, ...state } = this.published.getState(after);
     const hasVersion = String(configuration?.version) === query.get("version");
-    answerPacked(response, {
+    sendMsgpack(response, {
       configuration: configuration && !hasVersion
         ? this.pack(configuration)
         : undefined,
@@ -123,7 +123,7 @@
     const after = this.needsFullState ? 0 : this.published.completeUpTo;
     const path = `${PUBLICATION_PATH}?version=${version}&after=${after}`;
     const { configuration, digest, ...rest } = stateSchema.parse(
-      await this.client.ask(address, path),
+      await this.client.get(address, path),
     );
     const state = {
       ...rest,
--- a/src/peers/datagram.ts
+++ b/src/peers/datagram.ts
@@ -2,7 +2,7 @@
 import type { PrefixHolder, PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { GossipMessage } from "./gossip_schema.ts";
 import type { HostRumour } from "./host_rumour.ts";
-import type { PublicationWord } from "./publication_word.ts";
+import type { PublicationStatus } from "./publication_status.ts";
 
 /** Messages that hosts send each other, one per datagram. */
 export type Datagram =
@@ -26,7 +26,7 @@
   | {
     type: "publication_status_response";
     requestedAt: number;
-    status: PublicationWord;
+    status: PublicationStatus;
   }
   /** Reports which engines were sent which parts of prompts. */
   | { type: "prefix_facts"; facts: readonly PrefixUpdate[] }
--- a/src/peers/datagram_codec.ts
+++ b/src/peers/datagram_codec.ts
@@ -5,7 +5,7 @@
 import { packGossip } from "./pack_gossip.ts";
 import { gossipSchema } from "./gossip_schema.ts";
 import { hostRumoursSchema, packHostRumours } from "./host_rumour.ts";
-import { prefixFactsSchema, prefixSightingsSchema } from "./told_schemas.ts";
+import { prefixFactsSchema, prefixSightingsSchema } from "./message_schemas.ts";
 
 /** Encodes and decodes the body of one datagram type. */
 interface BodyCodec<Type extends DatagramType> {
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -280,7 +280,7 @@
     const address = sender.gossipAddress;
     if (facts.length > 0) this.options.onFacts(facts);
     const knownIncarnation = this.hosts.getHost(address)?.entry.incarnation;
-    if (this.hosts.hear(sender, sentAt, now)) {
+    if (this.hosts.applyDirectEntry(sender, sentAt, now)) {
       const isValidEcho = echo !== undefined && echo <= now;
       this.options.onEntry(sender, now, isValidEcho ? echo : undefined);
     }
--- a/src/peers/host_rumour.ts
+++ b/src/peers/host_rumour.ts
@@ -1,5 +1,5 @@
 import { HOST_PHASES, type HostPhase } from "./host_phase.ts";
-import { numberListSchema } from "./told_schemas.ts";
+import { numberListSchema } from "./message_schemas.ts";
 
 /** Membership statuses of a host, in their order on the wire; within an incarnation a status overrides those before
  * it. */
--- a/src/peers/host_table.ts
+++ b/src/peers/host_table.ts
@@ -5,7 +5,7 @@
 import type { HostState, KnownHost } from "./known_host.ts";
 
 /** Maximum number of other hosts for all-to-all gossip in every round. */
-export const SMALL_FLEET = 12;
+export const SMALL_FLEET_MAX_HOSTS = 12;
 
 /** Time without contact after which a host of a small fleet is not considered live, in milliseconds: three gossip
  * rounds. */
@@ -54,7 +54,7 @@
 
   /** Whether there are too many hosts for all-to-all gossip in every round. */
   get isLarge(): boolean {
-    return this.hosts.size > SMALL_FLEET;
+    return this.hosts.size > SMALL_FLEET_MAX_HOSTS;
   }
 
   /** Number of known hosts. */
@@ -120,7 +120,7 @@
    * @param sentAt Monotonic milliseconds of the host's clock when it sent the entry.
    * @param now Monotonic milliseconds.
    * @returns Whether the entry is new, rather than overtaken by a later datagram. */
-  hear(entry: PeerEntry, sentAt: number, now: number): boolean {
+  applyDirectEntry(entry: PeerEntry, sentAt: number, now: number): boolean {
     if (entry.gossipAddress === this.ownAddress) return false;
     this.lastContactAt = now;
     const known = this.hosts.get(entry.gossipAddress);
--- a/src/peers/load_report.ts
+++ b/src/peers/load_report.ts
@@ -1,5 +1,5 @@
 import type { LoadCount } from "../upstreams/load_counts.ts";
-import { numberListSchema } from "./told_schemas.ts";
+import { numberListSchema } from "./message_schemas.ts";
 
 /** The in-flight requests that a host reported, as relayed by another host. */
 export interface LoadReport {
--- a/src/peers/packed_client.ts
+++ b/src/peers/msgpack_client.ts
@@ -7,7 +7,7 @@
 const CONNECT_TIMEOUT_MS = 300;
 
 /** HTTP client for requests to other hosts with msgpack response bodies. */
-export class PackedClient {
+export class MsgpackClient {
   private readonly agent: Agent;
 
   private constructor(private readonly timeoutMs: number) {
@@ -16,15 +16,15 @@
 
   /** Creates a client.
    * @param timeoutMs Timeout of a whole response, in milliseconds. */
-  static create(timeoutMs: number): PackedClient {
-    return new PackedClient(timeoutMs);
+  static create(timeoutMs: number): MsgpackClient {
+    return new MsgpackClient(timeoutMs);
   }
 
   /** Sends a GET request to a host; returns the decoded body, or undefined if the status is not 200.
    * @param address Address at which it serves other hosts, as ip:port.
    * @param path Path and query.
    * @throws Error if the response does not arrive in time or the body is not msgpack. */
-  async ask(address: string, path: string): Promise<unknown> {
+  async get(address: string, path: string): Promise<unknown> {
     const response = await request(`http://${address}${path}`, {
       dispatcher: this.agent,
       signal: AbortSignal.timeout(this.timeoutMs),
@@ -42,7 +42,7 @@
 /** Sends a msgpack response with status 200.
  * @param response The HTTP response.
  * @param value The body. */
-export function answerPacked(response: ServerResponse, value: unknown): void {
+export function sendMsgpack(response: ServerResponse, value: unknown): void {
   response.writeHead(200, { "content-type": "application/msgpack" });
   response.end(pack(value));
 }
--- a/src/peers/prefix_directory.ts
+++ b/src/peers/prefix_directory.ts
@@ -75,7 +75,7 @@
 
   /** Publishes facts to the directory hosts of their parts, in batches.
    * @param facts The facts. */
-  tell(facts: readonly PrefixUpdate[]): void {
+  publish(facts: readonly PrefixUpdate[]): void {
     for (const fact of facts) {
       for (const replica of this.getReplicas(fact[0])) {
         const batch = this.batches.get(replica) ?? [];
@@ -90,7 +90,7 @@
    * first response with sightings, when all have responded, or on timeout. Returns undefined if no lookup is needed,
    * because this host knows of an engine with the part, or possible, because the part has no other directory host.
    * @param part Hash of the part's id. */
-  learn(part: number): Promise<void> | undefined {
+  lookUp(part: number): Promise<void> | undefined {
     if (this.options.prefixes.isCachedAnywhere(part, readClock())) {
       return undefined;
     }
--- a/src/peers/publication_word.ts
+++ b/src/peers/publication_status.ts
@@ -1,5 +1,5 @@
 /** Status of a host's copy of the publication. */
-export interface PublicationWord {
+export interface PublicationStatus {
   /** Digest of the copy. */
   digest: number;
   /** Highest revision merged into the copy. */
--- a/src/peers/age_questions.ts
+++ b/src/peers/publication_status_poller.ts
@@ -4,23 +4,23 @@
   type Timeline,
 } from "../clock/timeline.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
-import type { PublicationWord } from "./publication_word.ts";
+import type { PublicationStatus } from "./publication_status.ts";
 
 /** Time between two requests, in milliseconds. The publication appears older by up to as much; the age at which further
  * hosts start to watch the platform allows for that. */
 const POLL_INTERVAL_MS = 600;
 
 /** Dependencies of the poller. */
-export interface AgeQuestionsOptions {
+export interface PublicationStatusPollerOptions {
   socket: DatagramPort;
   /** Gossip addresses of the hosts to poll, in turn; empty where this host does not need to poll. */
   getSources: () => readonly string[];
   /** Returns the status of this host's copy of the publication. */
-  getWord: () => PublicationWord;
+  getStatus: () => PublicationStatus;
   /** Called with the status that a host sent in response to a request of time `requestedAt`. */
-  onWord: (
+  onStatus: (
     sender: string,
-    status: PublicationWord,
+    status: PublicationStatus,
     requestedAt: number,
   ) => void;
   /** Defaults to the timeline of the process. */
@@ -30,13 +30,15 @@
 /** Polls other hosts for the status of their copy of the publication, and responds to their requests. Ages are counted
  * from the time of the request by the requester's clock, so a delayed datagram never makes a copy look newer than it
  * is. */
-export class AgeQuestions {
+export class PublicationStatusPoller {
   private readonly timeline: Timeline;
   private readonly stopPolling: StopTimer;
   private pollCount = 0;
 
-  private constructor(private readonly options: AgeQuestionsOptions) {
-    const { socket, getWord, timeline = processTimeline } = options;
+  private constructor(
+    private readonly options: PublicationStatusPollerOptions,
+  ) {
+    const { socket, getStatus: getWord, timeline = processTimeline } = options;
     this.timeline = timeline;
     socket.handle("publication_status_request", ({ requestedAt }, sender) => {
       socket.send(sender, {
@@ -47,15 +49,17 @@
     });
     socket.handle("publication_status_response", (response, sender) => {
       if (response.requestedAt > timeline.read()) return;
-      options.onWord(sender, response.status, response.requestedAt);
+      options.onStatus(sender, response.status, response.requestedAt);
     });
     this.stopPolling = timeline.every(POLL_INTERVAL_MS, () => this.poll());
   }
 
   /** Starts polling and responding.
    * @param options Its dependencies. */
-  static create(options: AgeQuestionsOptions): AgeQuestions {
-    return new AgeQuestions(options);
+  static create(
+    options: PublicationStatusPollerOptions,
+  ): PublicationStatusPoller {
+    return new PublicationStatusPoller(options);
   }
 
   /** Stops polling. */
--- a/tests/gateway/choose_addresses_test.ts
+++ b/tests/gateway/choose_addresses_test.ts
@@ -19,7 +19,7 @@
 /** Returns the addresses that a host chooses if it knows all others. */
 function chooseFrom(own: PeerEntry, all: readonly PeerEntry[]): string[] {
   const table = HostTable.create(own.gossipAddress);
-  for (const entry of all) table.hear(entry, 1, 0);
+  for (const entry of all) table.applyDirectEntry(entry, 1, 0);
   const { callerAddress } = own;
   return chooseAddresses({
     own: { callerAddress, isReady: own.phase === "ready" },
--- a/tests/peers/host_table_test.ts
+++ b/tests/peers/host_table_test.ts
@@ -1,6 +1,9 @@
 import test from "ava";
 import type { HostRumour, HostStatus } from "../../src/peers/host_rumour.ts";
-import { HostTable, SMALL_FLEET } from "../../src/peers/host_table.ts";
+import {
+  HostTable,
+  SMALL_FLEET_MAX_HOSTS,
+} from "../../src/peers/host_table.ts";
 import { buildEntry } from "./build_entry.ts";
 
 const OWN = "127.0.0.1:1";
@@ -10,16 +13,24 @@
 
 function createTable(now: number): HostTable {
   const table = HostTable.create(OWN);
-  table.hear(buildEntry({ id: "g-2", gossipAddress: OTHER }), 1, now);
+  table.applyDirectEntry(
+    buildEntry({ id: "g-2", gossipAddress: OTHER }),
+    1,
+    now,
+  );
   return table;
 }
 
 /** Creates a table of a large fleet in which all hosts were just seen. */
 function createLargeTable(now: number): HostTable {
   const table = createTable(now);
-  for (let index = 0; index < SMALL_FLEET; index++) {
+  for (let index = 0; index < SMALL_FLEET_MAX_HOSTS; index++) {
     const gossipAddress = `127.0.1.${index}:1`;
-    table.hear(buildEntry({ id: `h-${index}`, gossipAddress }), 1, now);
+    table.applyDirectEntry(
+      buildEntry({ id: `h-${index}`, gossipAddress }),
+      1,
+      now,
+    );
   }
   return table;
 }
@@ -52,21 +63,21 @@
   t.true(isLive(table, BEYOND_TIMEOUTS_MS));
   table.expireSuspicion(host, BEYOND_TIMEOUTS_MS);
   t.false(isLive(table, BEYOND_TIMEOUTS_MS));
-  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET);
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET_MAX_HOSTS);
 });
 
 test("an isolated host of a large fleet considers no host live", (t) => {
   const table = createLargeTable(0);
   t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, 0);
   table.recordContact("127.0.1.1:1", BEYOND_TIMEOUTS_MS);
-  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET + 1);
+  t.is(table.getLive(BEYOND_TIMEOUTS_MS).length, SMALL_FLEET_MAX_HOSTS + 1);
 });
 
 test("a suspicion is refuted by a higher incarnation, not by a message with the suspected one", (t) => {
   const table = createLargeTable(0);
   table.applyRumour(buildRumour(table, "suspect"), 0);
   const entry = buildEntry({ id: "g-2", gossipAddress: OTHER, sequence: 2 });
-  t.true(table.hear(entry, 2, 1));
+  t.true(table.applyDirectEntry(entry, 2, 1));
   t.is(table.getHost(OTHER)?.status, "suspect");
   table.applyRumour(buildRumour(table, "alive", 2), 2);
   t.is(table.getHost(OTHER)?.status, "alive");
@@ -114,7 +125,11 @@
 test("digests are equal on hosts that consider the same incarnations live", (t) => {
   const table = createTable(0);
   const other = HostTable.create(OTHER);
-  other.hear(buildEntry({ gossipAddress: OWN, incarnation: 7 }), 1, 0);
+  other.applyDirectEntry(
+    buildEntry({ gossipAddress: OWN, incarnation: 7 }),
+    1,
+    0,
+  );
   t.is(table.computeDigest(7), other.computeDigest(1));
   t.not(table.computeDigest(8), other.computeDigest(1));
 });
--- a/tests/peers/prefix_directory_test.ts
+++ b/tests/peers/prefix_directory_test.ts
@@ -39,7 +39,7 @@
   await withSockets(HOSTS, async (sockets) => {
     const hosts = startHosts(sockets);
     const [publisher] = hosts;
-    publisher!.directory.tell([[PART, ENGINE, 100]]);
+    publisher!.directory.publish([[PART, ENGINE, 100]]);
     const others = hosts.slice(1);
     await waitUntil(
       "a directory host knows the part",
@@ -48,7 +48,7 @@
     t.true(countHostsKnowingPart(others) <= 2);
     for (const { directory, prefixes } of others) {
       await waitUntil("the host knows the part", async () => {
-        await directory.learn(PART);
+        await directory.lookUp(PART);
         return prefixes.isCached(PART, ENGINE, performance.now());
       });
     }
@@ -60,9 +60,9 @@
 test("a host that knows the part or has no other hosts sends no lookup", async (t) => {
   await withSockets(1, async (sockets) => {
     const [host] = startHosts(sockets);
-    t.is(host!.directory.learn(PART), undefined);
+    t.is(host!.directory.lookUp(PART), undefined);
     host!.prefixes.applyUpdates([[PART, ENGINE, 0]], performance.now());
-    t.is(host!.directory.learn(PART), undefined);
+    t.is(host!.directory.lookUp(PART), undefined);
     host!.directory.close();
     await Promise.resolve();
   });
@@ -77,7 +77,7 @@
       ownAddress: sockets[0]!.address,
       getHosts: () => [sockets[1]!.address],
     });
-    await directory.learn(PART);
+    await directory.lookUp(PART);
     t.false(requester!.prefixes.isCachedAnywhere(PART, performance.now()));
     directory.close();
   });
--- a/tests/peers/age_questions_test.ts
+++ b/tests/peers/publication_status_poller_test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
 import {
-  AgeQuestions,
-  type AgeQuestionsOptions,
-} from "../../src/peers/age_questions.ts";
-import type { PublicationWord } from "../../src/peers/publication_word.ts";
+  PublicationStatusPoller,
+  type PublicationStatusPollerOptions,
+} from "../../src/peers/publication_status_poller.ts";
+import type { PublicationStatus } from "../../src/peers/publication_status.ts";
 import { type TestSocket, withSockets } from "./with_sockets.ts";
 
-const STATUS: PublicationWord = {
+const STATUS: PublicationStatus = {
   digest: 5,
   revision: 6,
   publicationAgeMs: 321,
@@ -15,13 +15,13 @@
 /** Starts a poller; by default it has no sources, so that it only responds. */
 function startPoller(
   { socket }: TestSocket,
-  options: Partial<AgeQuestionsOptions>,
-): AgeQuestions {
-  return AgeQuestions.create({
+  options: Partial<PublicationStatusPollerOptions>,
+): PublicationStatusPoller {
+  return PublicationStatusPoller.create({
     socket,
     getSources: () => [],
-    getWord: () => STATUS,
-    onWord: () => undefined,
+    getStatus: () => STATUS,
+    onStatus: () => undefined,
     ...options,
   });
 }
@@ -33,7 +33,7 @@
     await new Promise<void>((resolve) => {
       const poller = startPoller(requester!, {
         getSources: () => [source!.address],
-        onWord: (sender, status, requestedAt) => {
+        onStatus: (sender, status, requestedAt) => {
           t.is(sender, source!.address);
           t.deepEqual(status, STATUS);
           t.true(requestedAt >= startedAt && requestedAt <= performance.now());
@@ -50,7 +50,7 @@
   await withSockets(2, async ([sender, requester]) => {
     const accepted: number[] = [];
     const poller = startPoller(requester!, {
-      onWord: (_sender, _status, requestedAt) => accepted.push(requestedAt),
+      onStatus: (_sender, _status, requestedAt) => accepted.push(requestedAt),
     });
     const future = performance.now() + 1e9;
     for (const requestedAt of [future, 1]) {
--- a/tests/peers/virtual_fleet.ts
+++ b/tests/peers/virtual_fleet.ts
@@ -1,5 +1,5 @@
 import { WatchOrder } from "../../src/gateway/watch_order.ts";
-import { AgeQuestions } from "../../src/peers/age_questions.ts";
+import { PublicationStatusPoller } from "../../src/peers/publication_status_poller.ts";
 import type { Timeline } from "../../src/clock/timeline.ts";
 import type { Datagram, DatagramType } from "../../src/peers/datagram.ts";
 import type {
@@ -142,15 +142,15 @@
       timeline,
       random: random.fork(),
     });
-    const poller = AgeQuestions.create({
+    const poller = PublicationStatusPoller.create({
       socket,
       getSources: () =>
         this.findAddresses(
           gossip,
           this.buildWatchOrder(gossip, id).getSources(),
         ),
-      getWord: () => ({ digest: 1, revision: 1, publicationAgeMs: 10 }),
-      onWord: () => undefined,
+      getStatus: () => ({ digest: 1, revision: 1, publicationAgeMs: 10 }),
+      onStatus: () => undefined,
       timeline,
     });
     const close = () => {
