--- a/src/crashes/crash_detector.ts
+++ b/src/crashes/crash_detector.ts
@@ -6,7 +6,7 @@
 const SUSPECTED_CRASH_RETENTION_MS = 8_000;
 
 /** One instance of an upstream, that is, one start of its process. */
-export interface CheckedUpstream {
+export interface UpstreamInstance {
   /** Id of the upstream, for the log. */
   readonly id: string;
   /** Hash that identifies the instance in messages between hosts. */
@@ -28,10 +28,10 @@
 export interface CrashDetectorOptions {
   logger: Logger;
   /** Called once for each instance that crashed. */
-  onCrash: (upstream: CheckedUpstream) => void;
+  onCrash: (upstream: UpstreamInstance) => void;
   /** Called with the requests that were interrupted by a confirmed crash. */
   onAffected: (
-    upstream: CheckedUpstream,
+    upstream: UpstreamInstance,
     requests: readonly InterruptedRequest[],
   ) => void;
   /** Checks whether something listens at an address; `checkConnection` by default. */
@@ -40,7 +40,7 @@
 
 /** An instance that may have crashed, with the requests that it interrupted. */
 interface SuspectedCrash {
-  upstream: CheckedUpstream;
+  upstream: UpstreamInstance;
   requests: InterruptedRequest[];
   isConfirmed: boolean;
   timer: NodeJS.Timeout | undefined;
@@ -65,7 +65,7 @@
    * @param upstream Instance that the request was sent to.
    * @param request The request. */
   recordInterruption(
-    upstream: CheckedUpstream,
+    upstream: UpstreamInstance,
     request: InterruptedRequest,
   ): void {
     if (upstream.isEndExpected) return;
@@ -87,7 +87,7 @@
   /** Checks a crash that another host reported: it is only confirmed if nothing listens at the address, because the
    * other host may merely be cut off from the upstream.
    * @param upstream Instance that is reported to have crashed. */
-  checkReportedCrash(upstream: CheckedUpstream): void {
+  checkReportedCrash(upstream: UpstreamInstance): void {
     if (upstream.isEndExpected) return;
     if (!this.crashes.has(upstream.instanceHash)) this.startCheck(upstream, []);
   }
@@ -106,7 +106,7 @@
   }
 
   private startCheck(
-    upstream: CheckedUpstream,
+    upstream: UpstreamInstance,
     requests: InterruptedRequest[],
   ): void {
     const crash: SuspectedCrash = {
--- a/src/crashes/crash_gossip.ts
+++ b/src/crashes/crash_gossip.ts
@@ -1,8 +1,8 @@
 import { readClock } from "../clock/clock.ts";
 import { SMALL_FLEET_MAX_HOSTS } from "../peers/host_table.ts";
 import { Random } from "../random/random.ts";
-import type { CrashStore } from "./crash_memory.ts";
-import type { CrashWord } from "./crash_word.ts";
+import type { CrashStore } from "./crash_store.ts";
+import type { CrashReport } from "./crash_report.ts";
 
 /** Time in which new reports are batched before they are sent, in milliseconds. */
 const BATCH_DELAY_MS = 15;
@@ -20,11 +20,11 @@
 
 /** Dependencies of `CrashGossip`. */
 export interface CrashGossipOptions {
-  memory: CrashStore;
+  store: CrashStore;
   /** Returns the other live hosts, as `send` accepts them. */
   getHosts: () => readonly string[];
   /** Sends reports to one host; they may be lost. */
-  send: (host: string, reports: readonly CrashWord[]) => void;
+  send: (host: string, reports: readonly CrashReport[]) => void;
 }
 
 /** Gossips reports of the requests that were in flight on upstreams when they crashed. New reports are sent
@@ -49,7 +49,7 @@
   }
 
   /** Schedules a batch of the pending reports, unless one is scheduled already. */
-  announce(): void {
+  scheduleBatch(): void {
     this.batchTimer ??= setTimeout(() => this.sendBatch(), BATCH_DELAY_MS);
   }
 
@@ -61,7 +61,7 @@
 
   private sendBatch(): void {
     this.batchTimer = undefined;
-    const { memory, getHosts } = this.options;
+    const { store: memory, getHosts } = this.options;
     const reports = memory.takePendingReports(
       MAX_REPORTS_PER_MESSAGE,
       readClock(),
@@ -77,7 +77,7 @@
   }
 
   private sendSample(): void {
-    const { memory, getHosts } = this.options;
+    const { store: memory, getHosts } = this.options;
     if (memory.isEmpty) return;
     const [host] = this.random.shuffle(getHosts());
     if (host === undefined) return;
@@ -87,7 +87,7 @@
     );
   }
 
-  private send(host: string, reports: readonly CrashWord[]): void {
+  private send(host: string, reports: readonly CrashReport[]): void {
     if (reports.length === 0) return;
     this.options.send(host, reports);
   }
--- a/src/crashes/crash_record.ts
+++ b/src/crashes/crash_record.ts
@@ -1,4 +1,4 @@
-import type { CrashPoints, CrashWord } from "./crash_word.ts";
+import type { CrashPoints, CrashReport } from "./crash_report.ts";
 
 /** Maximum number of crashes that are kept for one request: enough to hold it for the longest time. */
 const MAX_CRASHES = 8;
@@ -65,7 +65,7 @@
   /** Merges a report; returns whether it contained anything new.
    * @param report Report about the same request.
    * @param now Monotonic milliseconds. */
-  merge(report: CrashWord, now: number): boolean {
+  merge(report: CrashReport, now: number): boolean {
     const crashes = report.crashes.map((crash) => this.addCrash(crash));
     const excuses = report.excused.map((instance) => this.excuse(instance));
     const hasCrashNews = crashes.includes(true);
@@ -85,7 +85,7 @@
 
   /** Returns the report of this record for other hosts.
    * @param now Monotonic milliseconds. */
-  toReport(now: number): CrashWord {
+  toReport(now: number): CrashReport {
     return {
       fingerprint: this.fingerprint,
       agoMs: Math.max(0, now - this.crashedAt),
--- a/src/crashes/crash_word.ts
+++ b/src/crashes/crash_report.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 
 /** Schema of a crash report. */
-export const crashWordSchema = z.object({
+export const crashReportSchema = z.object({
   /** Fingerprint of the request. */
   fingerprint: z.number().int(),
   /** Milliseconds since the last crash when the report was sent. */
@@ -13,21 +13,21 @@
 });
 
 /** A report from one host to another about the crashes of upstreams on which one request was in flight. */
-export type CrashWord = z.infer<typeof crashWordSchema>;
+export type CrashReport = z.infer<typeof crashReportSchema>;
 
 /** A crash of an instance on which a request was in flight: the hash of the instance and the points that the request is
  * given. */
-export type CrashPoints = CrashWord["crashes"][number];
+export type CrashPoints = CrashReport["crashes"][number];
 
-const { fingerprint, agoMs, crashes, excused } = crashWordSchema.shape;
+const { fingerprint, agoMs, crashes, excused } = crashReportSchema.shape;
 
 /** Schema of a crash report as a list, because field names would take up half of a datagram. */
-export const crashWordListSchema = z.tuple([
+export const packedCrashReportSchema = z.tuple([
   fingerprint,
   agoMs,
   crashes,
   excused,
-]).transform((list): CrashWord => ({
+]).transform((list): CrashReport => ({
   fingerprint: list[0],
   agoMs: list[1],
   crashes: list[2],
@@ -36,9 +36,9 @@
 
 /** Packs a crash report as the list that the schema above reads.
  * @param report The report. */
-export function packCrashWord(
-  report: CrashWord,
-): z.input<typeof crashWordListSchema> {
+export function packCrashReport(
+  report: CrashReport,
+): z.input<typeof packedCrashReportSchema> {
   return [
     report.fingerprint,
     Math.round(report.agoMs),
--- a/src/crashes/crash_memory.ts
+++ b/src/crashes/crash_store.ts
@@ -1,6 +1,6 @@
 import type { Random } from "../random/random.ts";
 import { CrashRecord } from "./crash_record.ts";
-import type { CrashWord } from "./crash_word.ts";
+import type { CrashReport } from "./crash_report.ts";
 
 /** Maximum number of records; a hundred of them take some kilobytes. Beyond it, the oldest one that is not held is
  * evicted first. */
@@ -91,7 +91,7 @@
   ): void {
     const lastCompletedAt = this.completedAt.get(fingerprint) ?? -Infinity;
     if (now - lastCompletedAt < COMPLETION_GRACE_MS) return;
-    const crashes: CrashWord["crashes"] = [[instance, points]];
+    const crashes: CrashReport["crashes"] = [[instance, points]];
     this.mergeReport({ fingerprint, agoMs: 0, crashes, excused: [] }, now);
   }
 
@@ -110,7 +110,7 @@
   /** Merges reports from another host; those that contain anything new become pending, so that they are forwarded.
    * @param reports The reports.
    * @param now Monotonic milliseconds. */
-  learn(reports: readonly CrashWord[], now: number): void {
+  mergeReports(reports: readonly CrashReport[], now: number): void {
     for (const report of reports) {
       if (report.agoMs >= HELD_RETENTION_MS) continue;
       const isNew = this.mergeReport(report, now);
@@ -124,7 +124,7 @@
   /** Returns the pending reports, oldest first, which are then no longer pending.
    * @param limit Maximum number of reports.
    * @param now Monotonic milliseconds. */
-  takePendingReports(limit: number, now: number): CrashWord[] {
+  takePendingReports(limit: number, now: number): CrashReport[] {
     const fingerprints = [...this.pending].slice(0, limit);
     for (const fingerprint of fingerprints) this.pending.delete(fingerprint);
     return fingerprints.flatMap((fingerprint) =>
@@ -137,7 +137,7 @@
    * @param limit Maximum number of reports.
    * @param now Monotonic milliseconds.
    * @param random Source of the random choice. */
-  sampleReports(limit: number, now: number, random: Random): CrashWord[] {
+  sampleReports(limit: number, now: number, random: Random): CrashReport[] {
     this.removeExpired(now);
     const records = random.shuffle([...this.records.values()]);
     const above = records.filter((record) => record.meetsHoldThreshold);
@@ -147,7 +147,7 @@
   }
 
   /** Merges a report; returns whether it contained anything new. */
-  private mergeReport(report: CrashWord, now: number): boolean {
+  private mergeReport(report: CrashReport, now: number): boolean {
     const { fingerprint } = report;
     const record = this.records.get(fingerprint) ??
       CrashRecord.create(fingerprint);
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -294,7 +294,7 @@
     if (progress.grant.isAcquired) {
       return { type: "end", end: refuse(progress, "outcome_unknown", detail) };
     }
-    if (!this.options.crashGuard.maySendAgain(progress.fingerprint)) {
+    if (!this.options.crashGuard.mayRetry(progress.fingerprint)) {
       return {
         type: "end",
         end: refuse(progress, "crashes_upstreams", `held after ${detail}`),
--- a/src/entry/record_attempt.ts
+++ b/src/entry/record_attempt.ts
@@ -1,5 +1,5 @@
 import type { Host } from "../configuration_service/host_schema.ts";
-import type { CheckedUpstream } from "../crashes/crash_detector.ts";
+import type { UpstreamInstance } from "../crashes/crash_detector.ts";
 import type { CrashGuard } from "../crashes/crash_guard.ts";
 import { hashText } from "../hashing/hasher.ts";
 import type { AttemptOutcome } from "./attempt.ts";
@@ -27,15 +27,19 @@
     outcome,
     hasReceivedEvents,
   } = attempt;
-  if (outcome.type === "done") guard.noteServed(fingerprint);
+  if (outcome.type === "done") guard.recordCompletion(fingerprint);
   const isBroken = outcome.type === "failed" && outcome.ran === "unknown";
   if (!isBroken || !upstream) return;
-  guard.noteBroken(toCheckedUpstream(upstream), fingerprint, hasReceivedEvents);
+  guard.recordInterruption(
+    toCheckedUpstream(upstream),
+    fingerprint,
+    hasReceivedEvents,
+  );
 }
 
 function toCheckedUpstream(
   { id, address, port, state }: Host,
-): CheckedUpstream {
+): UpstreamInstance {
   return {
     id,
     instanceHash: hashText(id),
--- a/src/forward/call_run.ts
+++ b/src/forward/call_run.ts
@@ -107,7 +107,7 @@
   /** Whether the crash guard allows sending a request that failed to another upstream. */
   private get maySendAgain(): boolean {
     const { fingerprint } = this.call;
-    return this.context.crashes.maySendAgain(fingerprint);
+    return this.context.crashes.mayRetry(fingerprint);
   }
 
   private get progress(): AttemptProgress {
@@ -253,7 +253,7 @@
     if (this.relay.isStream) return this.onStreamEnd(upstream);
     const { status } = head;
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
-    this.context.crashes.noteServed(this.call.fingerprint);
+    this.context.crashes.recordCompletion(this.call.fingerprint);
     const { backoffMs } = head.headers.availability;
     if (isFailureStatus(status)) {
       if (backoffMs === undefined) {
@@ -278,7 +278,7 @@
     }
     this.context.noteHealth(upstream, "good");
     this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
-    this.context.crashes.noteServed(this.call.fingerprint);
+    this.context.crashes.recordCompletion(this.call.fingerprint);
     this.relay.endStream();
     this.finish("answered", `${this.relay.eventsForwarded} events`);
   }
@@ -288,7 +288,7 @@
     this.log.logFailed(upstream, detail, this.progress);
     if (failure !== "broken") return this.onUnsent(upstream, failure, detail);
     this.context.noteHealth(upstream, "broken");
-    this.context.crashes.noteBroken(
+    this.context.crashes.recordInterruption(
       upstream,
       this.call.fingerprint,
       this.relay.hasPartialResponse,
--- a/src/forward/call_run_context.ts
+++ b/src/forward/call_run_context.ts
@@ -45,15 +45,15 @@
 /** Reports and checks for requests that may crash upstreams. */
 export interface CrashAccess {
   /** Whether a request that failed may be sent to another upstream. */
-  maySendAgain: (fingerprint: number) => boolean;
+  mayRetry: (fingerprint: number) => boolean;
   /** Records an attempt whose connection ended before its response was complete. */
-  noteBroken: (
+  recordInterruption: (
     upstream: Upstream,
     fingerprint: number,
     isAnsweredInPart: boolean,
   ) => void;
   /** Records a request that an upstream ran to completion, whatever the response status. */
-  noteServed: (fingerprint: number) => void;
+  recordCompletion: (fingerprint: number) => void;
 }
 
 /** Dependencies of a call forwarder on the rest of the process. */
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -180,16 +180,16 @@
   private createGuard(): CrashGuard {
     return CrashGuard.create({
       logger: this.logger,
-      describe: formatFingerprint,
-      onNews: () => this.peerNetwork?.announceCrashes(),
+      formatFingerprint: formatFingerprint,
+      onPendingReports: () => this.peerNetwork?.announceCrashes(),
       onHeld: (fingerprint) => this.handler.endHeldRuns(fingerprint),
       onCrash: (upstream) => {
         this.metrics.recordCrash();
         this.chooser.markCrashed(upstream);
       },
-      onRumour: (upstream) => {
+      onCrashReported: (upstream) => {
         const known = this.chooser.upstreams.findByInstanceHash(upstream);
-        if (known) this.guard.noteRumour(known);
+        if (known) this.guard.checkReportedCrash(known);
       },
     });
   }
@@ -205,7 +205,8 @@
       onPrefixUpdates: () => this.peerNetwork?.announcePrefixUpdates(),
       onRestart: (before) => this.handler.failAttemptsOn(before),
       onAvailability: (change) => this.metrics.recordAvailability(change),
-      onDrop: ({ instanceHash: shortName }) => this.guard.noteGone(shortName),
+      onDrop: ({ instanceHash: shortName }) =>
+        this.guard.recordRemoval(shortName),
       onSend: ({ basis }, { countAgeMs }) =>
         this.metrics.recordSend(basis, countAgeMs),
       onHealthSignal: (sign) => this.metrics.recordAttempt(sign),
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -105,7 +105,7 @@
 
   /** Announces soon to other hosts which requests were in progress on crashed upstreams. */
   announceCrashes(): void {
-    this.crashGossip.announce();
+    this.crashGossip.scheduleBatch();
   }
 
   /** Announces soon to other hosts which engines were sent which prompt parts. */
@@ -152,13 +152,13 @@
   }
 
   private createCrashGossip(): CrashGossip {
-    const { socket, options: { guard: { memory } } } = this;
+    const { socket, options: { guard: { store: memory } } } = this;
     socket.handle(
       "crash_words",
-      ({ words }) => memory.learn(words, readClock()),
+      ({ words }) => memory.mergeReports(words, readClock()),
     );
     return CrashGossip.create({
-      memory,
+      store: memory,
       getHosts: () =>
         this.getLiveHosts().map(({ entry }) => entry.gossipAddress),
       send: (host, words) => socket.send(host, { type: "crash_words", words }),
--- a/src/membership/fleet_view.ts
+++ b/src/membership/fleet_view.ts
@@ -6,7 +6,7 @@
   /** Whether its status is alive; always true for this router itself. */
   heard: boolean;
   /** Whether its status is dead: it was silent for so long that connections to it are closed. */
-  lost: boolean;
+  dead: boolean;
   /** Whether callers and work should go to other routers, because the router itself or the host list says so. */
   unavailable: boolean;
 }
@@ -61,7 +61,7 @@
   }
 
   /** Fraction of the listed routers whose status is alive, including this one; 1 if none is listed. */
-  get heardShare(): number {
+  get reachableFraction(): number {
     if (this.routers.length === 0) return 1;
     return this.routers.filter((router) => router.heard).length /
       this.routers.length;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -7,11 +7,11 @@
 import { Random } from "../random/random.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { FleetView } from "./fleet_view.ts";
-import { buildRouterViews, logRouterChanges } from "./view_routers.ts";
+import { buildRouterViews, logRouterChanges } from "./router_views.ts";
 import { MemberTable } from "./member_table.ts";
 import type { ProbeMessage } from "./probe_message.ts";
 import { type DatagramAddress, ProbeSocket } from "./probe_socket.ts";
-import { ProbeRound } from "./probe_round.ts";
+import { Prober } from "./prober.ts";
 
 /** Maximum number of rumours piggybacked on one datagram. */
 const MAX_RUMOURS_PER_MESSAGE = 6;
@@ -36,7 +36,7 @@
   /** Called with the upstream loads in every message from a peer. */
   onPeerLoads: (id: string, loads: readonly [number, number][]) => void;
   /** Called for every message from a peer whose host list is newer than this router's. */
-  onNewerHosts: (peerId: string, version: number) => void;
+  onNewerHostList: (peerId: string, version: number) => void;
   /** Called with every new view. */
   onView: (view: FleetView) => void;
 }
@@ -55,7 +55,7 @@
   private readonly table: MemberTable;
   private readonly random = Random.create();
   private readonly actor: Actor<MembershipMessages>;
-  private readonly prober: ProbeRound;
+  private readonly prober: Prober;
   private readonly timer: NodeJS.Timeout;
   private hostList: HostList = { version: 0, hosts: [] };
   private currentView: FleetView;
@@ -74,11 +74,12 @@
       settings.membership.suspicionMs,
     );
     this.currentView = FleetView.create(settings.id, 0, [], []);
-    this.prober = ProbeRound.create(settings.membership.probeTimeoutMs, {
+    this.prober = Prober.create(settings.membership.probeTimeoutMs, {
       sendPing: (target, nonce) =>
         this.send(target, { type: "ping", ...this.buildHeader(nonce) }),
-      sendRelays: (target, nonce) => this.requestIndirectProbes(target, nonce),
-      onSilent: (target) => this.actor.tell("unreachable", target),
+      requestIndirectProbes: (target, nonce) =>
+        this.requestIndirectProbes(target, nonce),
+      onProbeFailed: (target) => this.actor.tell("unreachable", target),
     });
     this.actor = Actor.create<MembershipMessages>(
       options.system,
@@ -149,7 +150,7 @@
   }
 
   /** Cancels all pending probes, because answers may have been delayed while this process was paused. */
-  forgetProbes(): void {
+  cancelProbes(): void {
     this.prober.close();
   }
 
@@ -182,7 +183,7 @@
     );
     this.options.onPeerLoads(message.from, message.loads);
     if (message.hosts > this.hostList.version) {
-      this.options.onNewerHosts(message.from, message.hosts);
+      this.options.onNewerHostList(message.from, message.hosts);
     }
     if (message.type === "ping") {
       this.socket?.send(
--- a/src/membership/probe_round.ts
+++ b/src/membership/prober.ts
@@ -5,13 +5,13 @@
 } from "../clock/timeline.ts";
 
 /** Callbacks of a prober. */
-export interface ProbeRoundOptions {
+export interface ProberOptions {
   /** Sends a ping to the target. */
   sendPing: (target: string, nonce: number) => void;
   /** Asks other hosts to probe the target (indirect probe). */
-  sendRelays: (target: string, nonce: number) => void;
+  requestIndirectProbes: (target: string, nonce: number) => void;
   /** Called with a target that answered neither the direct nor an indirect probe. */
-  onSilent: (target: string) => void;
+  onProbeFailed: (target: string) => void;
 }
 
 interface PendingProbe {
@@ -21,13 +21,13 @@
 }
 
 /** Probes hosts as in SWIM: a direct ping, then indirect probes through other hosts, then failure. */
-export class ProbeRound {
+export class Prober {
   private readonly pending = new Map<number, PendingProbe>();
   private nextNonce = 1;
 
   private constructor(
     private readonly timeoutMs: number,
-    private readonly options: ProbeRoundOptions,
+    private readonly options: ProberOptions,
     private readonly timeline: Timeline,
   ) {}
 
@@ -37,10 +37,10 @@
    * @param timeline Clock and timers to use; those of the process by default. */
   static create(
     timeoutMs: number,
-    options: ProbeRoundOptions,
+    options: ProberOptions,
     timeline: Timeline = processTimeline,
-  ): ProbeRound {
-    return new ProbeRound(timeoutMs, options, timeline);
+  ): Prober {
+    return new Prober(timeoutMs, options, timeline);
   }
 
   /** Starts a probe.
@@ -88,7 +88,7 @@
       this.pending.delete(nonce);
       return;
     }
-    this.options.sendRelays(pending.target, nonce);
+    this.options.requestIndirectProbes(pending.target, nonce);
     pending.stopTimer = this.timeline.after(
       this.timeoutMs * 2,
       () => this.onIndirectTimeout(nonce),
@@ -99,6 +99,6 @@
     const pending = this.pending.get(nonce);
     if (!pending) return;
     this.pending.delete(nonce);
-    this.options.onSilent(pending.target);
+    this.options.onProbeFailed(pending.target);
   }
 }
--- a/src/membership/view_routers.ts
+++ b/src/membership/router_views.ts
@@ -18,7 +18,7 @@
     return {
       host,
       heard: rumour?.status === "alive",
-      lost: rumour?.status === "dead",
+      dead: rumour?.status === "dead",
       unavailable: host.state === "leaving" || (rumour?.unavailable ?? false),
     };
   });
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -201,7 +201,7 @@
     const means = this.options.loads.getMeans(pool, now);
     const mean = chooseMean(means, boundMultiple);
     const reachableShare = this.share.update(
-      this.options.getView().heardShare,
+      this.options.getView().reachableFraction,
       now,
     );
     return {
--- a/src/peer/frame_schema.ts
+++ b/src/peer/frame_schema.ts
@@ -1,5 +1,5 @@
 import { z } from "zod";
-import { crashWordSchema } from "../crashes/crash_word.ts";
+import { crashReportSchema } from "../crashes/crash_report.ts";
 import { hostListSchema } from "../configuration_service/host_schema.ts";
 import { publishedValueSchema } from "../configuration/document_schema.ts";
 
@@ -168,7 +168,7 @@
   z.object({
     type: z.literal("crash_words"),
     exchange,
-    words: z.array(crashWordSchema),
+    words: z.array(crashReportSchema),
   }),
 ] as const;
 
--- a/src/peer/peer_directory.ts
+++ b/src/peer/peer_directory.ts
@@ -102,7 +102,7 @@
    * @param view The current view of the fleet. */
   closeLostConnections(view: FleetView): void {
     for (const router of view.routers) {
-      if (router.lost) {
+      if (router.dead) {
         this.clients.get(router.host.id)?.then(
           (client) => client.close(),
           () => undefined,
--- a/src/peers/datagram.ts
+++ b/src/peers/datagram.ts
@@ -1,4 +1,4 @@
-import type { CrashWord } from "../crashes/crash_word.ts";
+import type { CrashReport } from "../crashes/crash_report.ts";
 import type { PrefixHolder, PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { GossipMessage } from "./gossip_schema.ts";
 import type { HostRumour } from "./host_rumour.ts";
@@ -39,7 +39,7 @@
     sightings: readonly PrefixHolder[];
   }
   /** Reports which requests were in flight on upstreams that crashed. */
-  | { type: "crash_words"; words: readonly CrashWord[] };
+  | { type: "crash_words"; words: readonly CrashReport[] };
 
 /** Type of a datagram. */
 export type DatagramType = Datagram["type"];
--- a/src/peers/datagram_codec.ts
+++ b/src/peers/datagram_codec.ts
@@ -1,6 +1,9 @@
 import { pack, unpack } from "msgpackr";
 import { z } from "zod";
-import { crashWordListSchema, packCrashWord } from "../crashes/crash_word.ts";
+import {
+  packCrashReport,
+  packedCrashReportSchema,
+} from "../crashes/crash_report.ts";
 import type { Datagram, DatagramOf, DatagramType } from "./datagram.ts";
 import { packGossip } from "./pack_gossip.ts";
 import { gossipSchema } from "./gossip_schema.ts";
@@ -78,8 +81,8 @@
   },
   crash_words: {
     typeCode: 6,
-    pack: ({ words }) => [words.map(packCrashWord)],
-    schema: z.tuple([z.array(crashWordListSchema)])
+    pack: ({ words }) => [words.map(packCrashReport)],
+    schema: z.tuple([z.array(packedCrashReportSchema)])
       .transform(([words]) => ({ type: "crash_words", words })),
   },
   probe_ack: {
--- a/src/peers/failure_detector.ts
+++ b/src/peers/failure_detector.ts
@@ -1,6 +1,6 @@
 import type { Timeline } from "../clock/timeline.ts";
 import type { Logger } from "../logging/logger.ts";
-import { ProbeRound } from "../membership/probe_round.ts";
+import { Prober } from "../membership/prober.ts";
 import type { Random } from "../random/random.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
 import type { HostTable } from "./host_table.ts";
@@ -34,14 +34,15 @@
 /** Detects failed hosts of a large fleet with the SWIM protocol: a host that acknowledges neither a direct probe nor
  * the indirect probes of other hosts is suspected, and is declared failed unless it refutes the suspicion in time. */
 export class FailureDetector {
-  private readonly probes: ProbeRound;
+  private readonly probes: Prober;
 
   private constructor(private readonly options: FailureDetectorOptions) {
     const { socket, timeline, sendProbe } = options;
-    this.probes = ProbeRound.create(PROBE_TIMEOUT_MS, {
+    this.probes = Prober.create(PROBE_TIMEOUT_MS, {
       sendPing: sendProbe,
-      sendRelays: (target, nonce) => this.handleTimeout(target, nonce),
-      onSilent: (target) => this.suspect(target),
+      requestIndirectProbes: (target, nonce) =>
+        this.handleTimeout(target, nonce),
+      onProbeFailed: (target) => this.suspect(target),
     }, timeline);
     socket.handle("probe_ack", ({ nonce, target, rumours }, sender) => {
       options.hosts.recordContact(sender, timeline.read());
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -215,7 +215,7 @@
       onPeerConfiguration: (id, digest, revision) =>
         this.configuration.noticePeer(id, digest, revision),
       onPeerLoads: (id, loads) => this.owner.takePeerLoads(id, loads),
-      onNewerHosts: (id, version) =>
+      onNewerHostList: (id, version) =>
         this.hostListPuller.handleNewerVersion(id, version),
       onView: (view) => this.applyView(view),
     });
@@ -297,7 +297,7 @@
   }
 
   private handlePause(gapMs: number): void {
-    this.membership?.forgetProbes();
+    this.membership?.cancelProbes();
     this.owner.notePause();
     this.logger.warn({ gapMs: Math.round(gapMs) }, "process_was_paused");
   }
--- a/src/router/router_crash_tracker.ts
+++ b/src/router/router_crash_tracker.ts
@@ -1,7 +1,7 @@
 import { readClock } from "../clock/clock.ts";
 import { CrashGossip } from "../crashes/crash_gossip.ts";
 import { CrashGuard } from "../crashes/crash_guard.ts";
-import type { CrashWord } from "../crashes/crash_word.ts";
+import type { CrashReport } from "../crashes/crash_report.ts";
 import { hashText } from "../hashing/hasher.ts";
 import { formatFingerprint } from "../hashing/request_fingerprint.ts";
 import type { Logger } from "../logging/logger.ts";
@@ -27,14 +27,14 @@
     const { logger, metrics } = options;
     this.guard = CrashGuard.create({
       logger,
-      describe: formatFingerprint,
-      onNews: () => this.gossip.announce(),
+      formatFingerprint: formatFingerprint,
+      onPendingReports: () => this.gossip.scheduleBatch(),
       onHeld: () => undefined,
       onCrash: () => metrics.count("upstream_crashes"),
-      onRumour: () => undefined,
+      onCrashReported: () => undefined,
     });
     this.gossip = CrashGossip.create({
-      memory: this.guard.memory,
+      store: this.guard.store,
       getHosts: () => this.getReachablePeerIds(),
       send: (routerId, reports) => void this.send(routerId, reports),
     });
@@ -46,14 +46,14 @@
   }
 
   /** Merges the crash reports that another router sent. */
-  mergeReports(reports: readonly CrashWord[]): void {
-    this.guard.memory.learn(reports, readClock());
+  mergeReports(reports: readonly CrashReport[]): void {
+    this.guard.store.mergeReports(reports, readClock());
   }
 
   /** Handles a new view of the fleet: upstreams that are no longer listed count as ended. */
   handleViewChange(previous: FleetView, current: FleetView): void {
     for (const { id } of previous.upstreams) {
-      if (!current.getUpstream(id)) this.guard.noteGone(hashText(id));
+      if (!current.getUpstream(id)) this.guard.recordRemoval(hashText(id));
     }
   }
 
@@ -72,7 +72,7 @@
 
   private async send(
     routerId: string,
-    reports: readonly CrashWord[],
+    reports: readonly CrashReport[],
   ): Promise<void> {
     const client = await this.options.connectionPool.getClient(routerId);
     client?.send({ type: "crash_words", exchange: 0, words: [...reports] });
--- a/tests/crashes/crash_detector_test.ts
+++ b/tests/crashes/crash_detector_test.ts
@@ -5,8 +5,8 @@
 import type { AddressInfo } from "node:net";
 import { CrashDetector } from "../../src/crashes/crash_detector.ts";
 import type {
-  CheckedUpstream,
   InterruptedRequest,
+  UpstreamInstance,
 } from "../../src/crashes/crash_detector.ts";
 import {
   checkConnection,
@@ -15,7 +15,7 @@
 import { waitUntil } from "../system/with_fleet.ts";
 import { createDeferred } from "../forward/run_call.ts";
 
-const UPSTREAM: CheckedUpstream = {
+const UPSTREAM: UpstreamInstance = {
   id: "u-1",
   instanceHash: 1,
   address: "127.0.0.1:1",
--- a/tests/crashes/crash_gossip_test.ts
+++ b/tests/crashes/crash_gossip_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { CrashStore } from "../../src/crashes/crash_memory.ts";
+import { CrashStore } from "../../src/crashes/crash_store.ts";
 import { CrashGossip } from "../../src/crashes/crash_gossip.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { type TestSocket, withSockets } from "../peers/with_sockets.ts";
@@ -18,15 +18,15 @@
   let gossip: CrashGossip | undefined = undefined;
   const crashStore = CrashStore.create({
     onCrashReported: () => undefined,
-    onPendingReports: () => gossip?.announce(),
+    onPendingReports: () => gossip?.scheduleBatch(),
     onHeld: () => undefined,
   });
   socket.handle(
     "crash_words",
-    ({ words }) => crashStore.learn(words, performance.now()),
+    ({ words }) => crashStore.mergeReports(words, performance.now()),
   );
   gossip = CrashGossip.create({
-    memory: crashStore,
+    store: crashStore,
     send: (host, reports) =>
       socket.send(host, { type: "crash_words", words: reports }),
     getHosts: () =>
--- a/tests/crashes/crash_memory_test.ts
+++ b/tests/crashes/crash_store_test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import fc from "fast-check";
-import { CrashStore } from "../../src/crashes/crash_memory.ts";
+import { CrashStore } from "../../src/crashes/crash_store.ts";
 import { Random } from "../../src/random/random.ts";
-import type { CrashWord } from "../../src/crashes/crash_word.ts";
+import type { CrashReport } from "../../src/crashes/crash_report.ts";
 
 const REQUEST = 7;
 const SECOND_MS = 1_000;
@@ -20,7 +20,7 @@
 }
 
 /** Returns the reports of all records, after those that have expired are removed. */
-function getAllReports(store: CrashStore, now: number): CrashWord[] {
+function getAllReports(store: CrashStore, now: number): CrashReport[] {
   return store.sampleReports(Infinity, now, Random.create(1));
 }
 
@@ -65,7 +65,7 @@
   const reports = getAllReports(store, 0);
   store.recordCompletion(REQUEST, 0);
   t.is(store.getHold(REQUEST, 0), undefined);
-  store.learn(reports, 0);
+  store.mergeReports(reports, 0);
   t.is(store.getHold(REQUEST, 0), undefined);
 });
 
@@ -78,7 +78,7 @@
 
 test("a host that recorded one crash holds the request once another host reports a second one", (t) => {
   const [one, other] = [createStoreWithCrashes(1), createStoreWithCrashes(2)];
-  one.store.learn(other.store.takePendingReports(10, 0), 0);
+  one.store.mergeReports(other.store.takePendingReports(10, 0), 0);
   t.truthy(one.store.getHold(REQUEST, 0));
   t.true(one.store.hasPendingReports);
   t.is(other.store.getHold(REQUEST, 0), undefined);
@@ -87,20 +87,23 @@
 test("a reported crash is passed to the listener once, and only while it is recent", (t) => {
   const { store, heard } = createStore();
   const report = { fingerprint: REQUEST, agoMs: 10, excused: [] };
-  store.learn([{ ...report, crashes: [[1, 2]] }], 0);
-  store.learn([{ ...report, crashes: [[1, 2]] }], 0);
-  store.learn([{ ...report, crashes: [[2, 2]], agoMs: 60 * SECOND_MS }], 0);
+  store.mergeReports([{ ...report, crashes: [[1, 2]] }], 0);
+  store.mergeReports([{ ...report, crashes: [[1, 2]] }], 0);
+  store.mergeReports(
+    [{ ...report, crashes: [[2, 2]], agoMs: 60 * SECOND_MS }],
+    0,
+  );
   t.deepEqual(heard, [1]);
 });
 
 test("the age in a report counts towards the hold and the retention, so that no record is kept forever", (t) => {
   const { store } = createStore();
   const report = { fingerprint: REQUEST, crashes: [], excused: [] };
-  const crashes: CrashWord["crashes"] = [[1, 2], [2, 2]];
-  store.learn([{ ...report, crashes, agoMs: 31 * SECOND_MS }], 0);
+  const crashes: CrashReport["crashes"] = [[1, 2], [2, 2]];
+  store.mergeReports([{ ...report, crashes, agoMs: 31 * SECOND_MS }], 0);
   t.is(store.getHold(REQUEST, 0), undefined);
   t.is(getAllReports(store, 49 * HOUR_MS).length, 0);
-  store.learn([{ ...report, crashes, agoMs: 49 * HOUR_MS }], 0);
+  store.mergeReports([{ ...report, crashes, agoMs: 49 * HOUR_MS }], 0);
   t.true(store.isEmpty);
 });
 
@@ -126,7 +129,7 @@
   t.true(getAllReports(store, 1).length <= 4_096);
 });
 
-const reportArbitrary: fc.Arbitrary<CrashWord> = fc.record({
+const reportArbitrary: fc.Arbitrary<CrashReport> = fc.record({
   fingerprint: fc.integer({ min: 1, max: 3 }),
   agoMs: fc.integer({ min: 0, max: 100 }),
   crashes: fc.array(
@@ -145,8 +148,8 @@
     fc.array(reportArbitrary, { maxLength: 4 }),
     (reports, repeated) => {
       const [one, other] = [createStore().store, createStore().store];
-      one.learn([...reports, ...repeated], 0);
-      other.learn([...repeated, ...reports.toReversed(), ...reports], 0);
+      one.mergeReports([...reports, ...repeated], 0);
+      other.mergeReports([...repeated, ...reports.toReversed(), ...reports], 0);
       const summarize = (store: CrashStore) =>
         [1, 2, 3].map((fingerprint) => store.getPoints(fingerprint));
       return JSON.stringify(summarize(one)) ===
--- a/tests/forward/call_run_test.ts
+++ b/tests/forward/call_run_test.ts
@@ -179,10 +179,13 @@
   const recorded: string[] = [];
   return {
     recorded,
-    maySendAgain: () => recorded.length === 0,
-    noteBroken: (upstream: { id: string }, _request: number, part: boolean) =>
-      void recorded.push(`${upstream.id} ${part}`),
-    noteServed: () => void recorded.push("served"),
+    mayRetry: () => recorded.length === 0,
+    recordInterruption: (
+      upstream: { id: string },
+      _request: number,
+      part: boolean,
+    ) => void recorded.push(`${upstream.id} ${part}`),
+    recordCompletion: () => void recorded.push("served"),
   };
 }
 
@@ -200,14 +203,14 @@
 
 test("a request whose hold has expired is sent once, even if the crash guard allows no retry", async (t) => {
   const received = await forwardCall([respondsOk], {}, {
-    crashes: { maySendAgain: () => false },
+    crashes: { mayRetry: () => false },
   });
   t.is(received.status, 200);
 });
 
 test("a broken stream is recorded with whether events were forwarded, and a complete response as served", async (t) => {
   const crashes = createCrashAccess();
-  crashes.maySendAgain = () => true;
+  crashes.mayRetry = () => true;
   await forwardCall(
     [streams([1], "", true), resetsConnection, streams([2])],
     { kind: "stream", isResumable: true, maxAttempts: 3 },
--- a/tests/forward/run_call.ts
+++ b/tests/forward/run_call.ts
@@ -148,9 +148,9 @@
       noteHealth: () => undefined,
       noteMoved: () => undefined,
       crashes: {
-        maySendAgain: () => true,
-        noteBroken: () => undefined,
-        noteServed: () => undefined,
+        mayRetry: () => true,
+        recordInterruption: () => undefined,
+        recordCompletion: () => undefined,
         ...crashes,
       },
       onEnd: (_forwarder, outcome) => ended.resolve(outcome),
--- a/tests/owner/build_fleet.ts
+++ b/tests/owner/build_fleet.ts
@@ -45,7 +45,7 @@
   const routers = [OWN_ID, ...others].map((id): RouterView => ({
     host: { ...upstream, id, role: "router", service: undefined },
     heard: true,
-    lost: false,
+    dead: false,
     unavailable: false,
   }));
   return FleetView.create(OWN_ID, version, routers, [upstream]);
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -406,7 +406,7 @@
     const views = [...ids].sort().map((id): RouterView => ({
       host: buildHost(id, "router"),
       heard: heard.has(id),
-      lost: false,
+      dead: false,
       unavailable: unavailable.has(id),
     }));
     return FleetView.create(router.id, router.viewVersion, views, ENGINES);
--- a/tests/placement/placement_table_test.ts
+++ b/tests/placement/placement_table_test.ts
@@ -22,7 +22,7 @@
   const views = routers.map((id) => ({
     host: buildHost(id, "router"),
     heard: true,
-    lost: false,
+    dead: false,
     unavailable: false,
   }));
   return PlacementTable.create(
