--- a/src/gateway/caller_surface.ts
+++ b/src/gateway/discovery_protocol.ts
@@ -1,6 +1,6 @@
 /** The paths and formats in which a gateway reports its readiness and the addresses to use. An adapter implements them
  * for one platform. */
-export interface CallerSurface {
+export interface DiscoveryProtocol {
   /** Path of the platform's readiness check. */
   readinessPath: string;
   /** Path under which callers look up the addresses to use. */
@@ -8,5 +8,5 @@
   /** Formats the JSON body of an address list.
    * @param addresses The addresses, each as ip:port.
    * @param ttlMs Time for which callers may cache the list, in milliseconds. */
-  writeAddresses(addresses: readonly string[], ttlMs: number): string;
+  formatAddressList(addresses: readonly string[], ttlMs: number): string;
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -10,12 +10,12 @@
 import { PublicationKeeper } from "../published/publication_keeper.ts";
 import type { RouteTable } from "../published/route_table.ts";
 import type { EngineInventory } from "../upstreams/engine_inventory.ts";
-import type { CallerSurface } from "./caller_surface.ts";
+import type { DiscoveryProtocol } from "./discovery_protocol.ts";
 import { CallHandler } from "./call_handler.ts";
 import { GatewayEndpoints } from "./gateway_endpoints.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import { type GatewaySettings, pickRestartOnly } from "./gateway_settings.ts";
-import { GracefulStop } from "./planned_stop.ts";
+import { GracefulStop } from "./graceful_stop.ts";
 import { PeerNetwork } from "./peer_network.ts";
 import { PrefixExchange } from "./prefix_exchange.ts";
 import { PrefixRecovery } from "./prefix_recovery.ts";
@@ -33,7 +33,7 @@
   feed: PublicationFeed;
   inventory: EngineInventory;
   codec: HeaderCodec;
-  surface: CallerSurface;
+  discoveryProtocol: DiscoveryProtocol;
 }
 
 /** One host of the fleet: accepts callers' requests and forwards them to upstreams itself. This class wires together
@@ -117,7 +117,7 @@
     this.logger.info({ openCalls: this.handler.openCalls }, "stop_started");
     this.peerNetwork?.announce();
     await this.stop.waitForOpenCalls(
-      this.settings.stopWithinMs,
+      this.settings.stopTimeoutMs,
       () => this.handler.openCalls,
     );
     this.server?.stopListening();
@@ -245,7 +245,7 @@
   private createEndpoints(): Promise<GatewayEndpoints> {
     return GatewayEndpoints.create({
       getSettings: () => this.settings,
-      surface: this.dependencies.surface,
+      discoveryProtocol: this.dependencies.discoveryProtocol,
       metrics: this.metrics,
       publicationExchange: this.publicationExchange,
       prefixExchange: this.prefixExchange,
@@ -275,7 +275,7 @@
   }
 
   private get mayAcceptKeys(): boolean {
-    const { keyBeliefMs } = this.settings;
+    const { keyRevocationLimitMs: keyBeliefMs } = this.settings;
     if (keyBeliefMs === undefined) return true;
     return this.published.ageMs < keyBeliefMs * KEY_AGE_LIMIT_FRACTION;
   }
--- a/src/gateway/gateway_endpoints.ts
+++ b/src/gateway/gateway_endpoints.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 import type { KnownHost } from "../peers/known_host.ts";
-import type { CallerSurface } from "./caller_surface.ts";
+import type { DiscoveryProtocol } from "./discovery_protocol.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { type HostExchange, HOSTS_PATH } from "./host_exchange.ts";
@@ -22,7 +22,7 @@
 export interface GatewayEndpointsOptions {
   /** Returns the current settings; the addresses to listen on are read once. */
   getSettings: () => GatewaySettings;
-  surface: CallerSurface;
+  discoveryProtocol: DiscoveryProtocol;
   metrics: GatewayMetrics;
   publicationExchange: PublicationExchange;
   prefixExchange: PrefixExchange;
@@ -67,7 +67,8 @@
 
   private buildHandlers(): Record<string, EndpointHandlers> {
     const settings = this.options.getSettings();
-    const { surface, publicationExchange, prefixExchange } = this.options;
+    const { discoveryProtocol: surface, publicationExchange, prefixExchange } =
+      this.options;
     return {
       [settings.readinessAddress]: {
         [`GET ${surface.readinessPath}`]: (_request, response) =>
@@ -93,7 +94,8 @@
   }
 
   private respondLocate(response: ServerResponse): void {
-    const { callerAddress, locateLifetimeLimitMs } = this.options.getSettings();
+    const { callerAddress, maxLocateTtlMs: locateLifetimeLimitMs } = this
+      .options.getSettings();
     const addresses = chooseAddresses({
       own: { callerAddress, isReady: this.options.isServing() },
       live: this.options.getLiveHosts(),
@@ -104,7 +106,9 @@
     }
     const ttlMs = Math.min(LOCATE_TTL_MS, locateLifetimeLimitMs);
     response.writeHead(200, { "content-type": "application/json" });
-    response.end(this.options.surface.writeAddresses(addresses, ttlMs));
+    response.end(
+      this.options.discoveryProtocol.formatAddressList(addresses, ttlMs),
+    );
   }
 
   private respondHosts(response: ServerResponse): void {
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -28,9 +28,9 @@
   /** Time after which a draining upstream may get no new requests. */
   leaveWithinMs: milliseconds,
   /** Time that a graceful stop may take. */
-  stopWithinMs: milliseconds,
+  stopTimeoutMs: milliseconds,
   /** Time after which a revoked key is no longer accepted; undefined if there is no limit. */
-  keyBeliefMs: milliseconds.optional(),
+  keyRevocationLimitMs: milliseconds.optional(),
   /** Fleet-wide retry budget per request. */
   retryRatio: z.number().nonnegative(),
   retryWindowMs: z.number().positive(),
@@ -39,7 +39,7 @@
   /** Maximum load of an upstream, as a multiple of the mean load. */
   boundMultiple: z.number().positive(),
   /** Maximum time for which callers may cache an address list. */
-  locateLifetimeLimitMs: milliseconds,
+  maxLocateTtlMs: milliseconds,
 });
 
 /** Settings of a gateway. */
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -14,7 +14,7 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { HostExchange } from "./host_exchange.ts";
 import type { PublicationExchange } from "./publication_exchange.ts";
-import { recordPeerLoads } from "./record_told_loads.ts";
+import { recordPeerLoads } from "./record_peer_loads.ts";
 import type { UpstreamChooser } from "./upstream_chooser.ts";
 
 /** Dependencies of a {@link PeerNetwork}. */
--- a/src/gateway/publication_watch.ts
+++ b/src/gateway/publication_watch.ts
@@ -5,7 +5,7 @@
 import { FeedWatcher } from "../published/feed_watcher.ts";
 import type { PublicationFeed } from "../published/publication_feed.ts";
 import type { PublicationKeeper } from "../published/publication_keeper.ts";
-import { WatchOrder } from "./watch_order.ts";
+import { WatcherRanking } from "./watcher_ranking.ts";
 
 /** Maximum wait of one long poll; the publication appears up to this old while nothing changes. */
 const WATCH_TIMEOUT_MS = 1_000;
@@ -48,7 +48,7 @@
     ...PEER_BOOTSTRAP_WAIT_RANGE_MS,
   );
   private rankedAt = readClock();
-  private cachedRanking: WatchOrder;
+  private cachedRanking: WatcherRanking;
 
   private constructor(private readonly options: PublicationWatchOptions) {
     const { feed, published, logger } = options;
@@ -82,7 +82,7 @@
     return this.ranking.getSources();
   }
 
-  private get ranking(): WatchOrder {
+  private get ranking(): WatcherRanking {
     const now = readClock();
     if (now - this.rankedAt > RANKING_TTL_MS) {
       this.rankedAt = now;
@@ -100,13 +100,13 @@
     const isStarting = uptimeMs < STARTUP_GRACE_MS;
     const hearsOthers = this.options.getLiveHosts().length > 0;
     if (isStarting && hearsOthers && ageMs < STARTUP_GRACE_MS) return false;
-    return this.ranking.isNeeded(ageMs);
+    return this.ranking.shouldWatch(ageMs);
   }
 
-  private buildRanking(): WatchOrder {
+  private buildRanking(): WatcherRanking {
     const notDraining = this.options.getLiveHosts().filter((host) =>
       host.entry.phase !== "draining"
     ).map((host) => host.entry.id);
-    return WatchOrder.create(this.options.getHostId(), notDraining);
+    return WatcherRanking.create(this.options.getHostId(), notDraining);
   }
 }
--- a/src/gateway/watch_order.ts
+++ b/src/gateway/watcher_ranking.ts
@@ -18,7 +18,7 @@
 
 /** Ranks the hosts of the fleet to decide which of them watch the platform, and which hosts the others query. Hosts
  * with the same live hosts compute the same ranking. */
-export class WatchOrder {
+export class WatcherRanking {
   private constructor(
     private readonly ranked: readonly string[],
     private readonly rank: number,
@@ -27,9 +27,9 @@
   /** Computes the ranking.
    * @param hostId Id of this host.
    * @param others Ids of the other live hosts that are not draining. */
-  static create(hostId: string, others: readonly string[]): WatchOrder {
+  static create(hostId: string, others: readonly string[]): WatcherRanking {
     const ranked = rankByRendezvous("watcher", [...others, hostId]);
-    return new WatchOrder(ranked, ranked.indexOf(hostId));
+    return new WatcherRanking(ranked, ranked.indexOf(hostId));
   }
 
   /** Whether this host is among the first in the ranking, which always watch. */
@@ -40,7 +40,7 @@
   /** Whether this host should watch now: the first hosts always do, and if their updates fail to arrive, twice as many
    * hosts in each interval.
    * @param ageMs Age of this host's publication in milliseconds; infinite if it has none. */
-  isNeeded(ageMs: number): boolean {
+  shouldWatch(ageMs: number): boolean {
     if (this.isWatcher || ageMs === Infinity) return true;
     if (ageMs < BACKUP_AGE_MS) return false;
     const steps = 1 +
--- a/tests/gateway/gateway_test.ts
+++ b/tests/gateway/gateway_test.ts
@@ -97,7 +97,7 @@
   await withGateways(async (fleet) => {
     const worker = await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
-    const gateway = await fleet.startGateway({ keyBeliefMs: 2_600 });
+    const gateway = await fleet.startGateway({ keyRevocationLimitMs: 2_600 });
     await waitForStatus(gateway, KEY, 200);
     fleet.store.behaviour = "silent";
     await waitForStatus(gateway, KEY, 503);
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -6,7 +6,7 @@
   type PromptTrafficOptions,
 } from "../../fakes/prompt_traffic.ts";
 import type { RoutedCall } from "../../src/forward/routed_call.ts";
-import { recordPeerLoads } from "../../src/gateway/record_told_loads.ts";
+import { recordPeerLoads } from "../../src/gateway/record_peer_loads.ts";
 import { UpstreamChooser } from "../../src/gateway/upstream_chooser.ts";
 import type { Datagram, DatagramType } from "../../src/peers/datagram.ts";
 import type { DatagramHandler } from "../../src/peers/datagram_socket.ts";
--- a/tests/gateway/watch_order_test.ts
+++ b/tests/gateway/watcher_ranking_test.ts
@@ -1,21 +1,25 @@
 import test from "ava";
-import { WatchOrder } from "../../src/gateway/watch_order.ts";
+import { WatcherRanking } from "../../src/gateway/watcher_ranking.ts";
 
 /** Number of hosts that the fleet is expected to have in two years. */
 const LARGE_FLEET_SIZE = 2_700;
 
-function createOrders(count: number): Map<string, WatchOrder> {
+function createOrders(count: number): Map<string, WatcherRanking> {
   const ids = Array.from({ length: count }, (_, index) => `host-${index}`);
   return new Map(
     ids.map((id) => [
       id,
-      WatchOrder.create(id, ids.filter((other) => other !== id)),
+      WatcherRanking.create(id, ids.filter((other) => other !== id)),
     ]),
   );
 }
 
-function countWatching(orders: Map<string, WatchOrder>, ageMs: number): number {
-  return [...orders.values()].filter((order) => order.isNeeded(ageMs)).length;
+function countWatching(
+  orders: Map<string, WatcherRanking>,
+  ageMs: number,
+): number {
+  return [...orders.values()].filter((order) => order.shouldWatch(ageMs))
+    .length;
 }
 
 test("three hosts of a large fleet watch; without updates from them twice as many in each step, up to a limit", (t) => {
@@ -32,7 +36,7 @@
 });
 
 test("a host that knows no others watches", (t) => {
-  t.true(WatchOrder.create("alone", []).isNeeded(0));
+  t.true(WatcherRanking.create("alone", []).shouldWatch(0));
 });
 
 test("each host is at most three queries from a watcher, and none is queried by too many", (t) => {
--- a/tests/gateway/with_gateways.ts
+++ b/tests/gateway/with_gateways.ts
@@ -48,7 +48,7 @@
       feed: StoreClient.create(settings.platformAddress),
       inventory: EngineClient.create(),
       codec: platformHeaders,
-      surface: platformSurface,
+      discoveryProtocol: platformSurface,
     });
     const started = { gateway, settings };
     this.gateways.push(started);
@@ -154,13 +154,13 @@
       platformAddress: `127.0.0.1:${this.store.port}`,
       isFirstStart: true,
       leaveWithinMs: 2_000,
-      stopWithinMs: 8_000,
-      keyBeliefMs: KEY_REVOCATION_LIMIT_MS,
+      stopTimeoutMs: 8_000,
+      keyRevocationLimitMs: KEY_REVOCATION_LIMIT_MS,
       retryRatio: 0.2,
       retryWindowMs: 10_000,
       retryExtra: 50,
       boundMultiple: 2,
-      locateLifetimeLimitMs: 5_000,
+      maxLocateTtlMs: 5_000,
     };
   }
 }
--- a/tests/peers/virtual_fleet.ts
+++ b/tests/peers/virtual_fleet.ts
@@ -1,4 +1,4 @@
-import { WatchOrder } from "../../src/gateway/watch_order.ts";
+import { WatcherRanking } from "../../src/gateway/watcher_ranking.ts";
 import { PublicationStatusPoller } from "../../src/peers/publication_status_poller.ts";
 import type { Timeline } from "../../src/clock/timeline.ts";
 import type { Datagram, DatagramType } from "../../src/peers/datagram.ts";
@@ -230,9 +230,9 @@
     return this.hosts.get(from)?.part === this.hosts.get(to)?.part;
   }
 
-  private buildWatchOrder(gossip: Gossip, id: string): WatchOrder {
+  private buildWatchOrder(gossip: Gossip, id: string): WatcherRanking {
     const live = gossip.hosts.getLive(this.timeline.read());
-    return WatchOrder.create(id, live.map(({ entry }) => entry.id));
+    return WatcherRanking.create(id, live.map(({ entry }) => entry.id));
   }
 
   private findAddresses(gossip: Gossip, ids: readonly string[]): string[] {
--- a/tests/platform/settings_file_test.ts
+++ b/tests/platform/settings_file_test.ts
@@ -30,8 +30,8 @@
   t.is(settings.gossipAddress, "10.1.0.40:7340");
   t.deepEqual(settings.seedAddresses, ["10.1.0.40:7340", "10.2.0.29:7340"]);
   t.is(settings.leaveWithinMs, 3_000);
-  t.is(settings.stopWithinMs, 8_000);
-  t.is(settings.keyBeliefMs, 5_000);
+  t.is(settings.stopTimeoutMs, 8_000);
+  t.is(settings.keyRevocationLimitMs, 5_000);
   t.true(settings.isFirstStart);
 });
 
@@ -39,7 +39,7 @@
   const lines = LINES.map((line) =>
     line.startsWith("bounds.strict") ? "bounds.strict_revoke=false" : line
   );
-  t.is(parseSettings(lines.join("\n")).keyBeliefMs, undefined);
+  t.is(parseSettings(lines.join("\n")).keyRevocationLimitMs, undefined);
 });
 
 test("each missing or invalid field is named", (t) => {
