--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -23,7 +23,7 @@
   path: string;
   receivedAt: number;
   /** Whether the known configuration is recent enough to accept keys. */
-  mayHonourKeys: boolean;
+  acceptsKeys: boolean;
 }
 
 /** An admitted call without its body and fingerprint: the body is read only after admission. */
@@ -61,7 +61,7 @@
 ): Result<KeyHolder | undefined, Failure> {
   if (route.isAnonymous || !routes.needsKeys) return Ok(undefined);
   const { key } = options.headers;
-  if (!options.mayHonourKeys) {
+  if (!options.acceptsKeys) {
     return Err(Failure.create("belief_too_old", "keys are not honoured now"));
   }
   const holder = key === undefined ? undefined : routes.getHolder(key);
@@ -94,7 +94,7 @@
       tokens,
     })),
     receivedAt,
-    callerEndsAt: remainingMs === undefined
+    callerDeadlineAt: remainingMs === undefined
       ? Infinity
       : receivedAt + remainingMs,
   };
--- a/src/forward/attempt.ts
+++ b/src/forward/attempt.ts
@@ -3,7 +3,7 @@
 import type { UpstreamConnection } from "../upstreams/upstream_connection.ts";
 import { closeAfterDeclineWindow } from "../upstreams/decline_window.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import type { AnswerHeaders, HeaderCodec } from "./caller_headers.ts";
+import type { HeaderCodec, ResponseHeaders } from "./caller_headers.ts";
 
 /** Why an attempt ended without a complete response. */
 export type AttemptFailure =
@@ -27,7 +27,7 @@
 /** Receives the events of an attempt. */
 export interface AttemptListener {
   /** The status and headers of the response arrived. */
-  onHead(status: number, headers: AnswerHeaders): void;
+  onHead(status: number, headers: ResponseHeaders): void;
   /** Bytes of the response body arrived. */
   onBytes(bytes: Buffer): void;
   /** The response is complete. */
@@ -35,7 +35,7 @@
   /** The attempt failed; there will be no complete response. */
   onFailure(failure: AttemptFailure, detail: string): void;
   /** The upstream declined the request after the attempt was abandoned. */
-  onLateDecline(status: number, headers: AnswerHeaders): void;
+  onLateDecline(status: number, headers: ResponseHeaders): void;
 }
 
 /** One attempt to send a request to one upstream, until the response ends or the attempt fails. */
@@ -163,9 +163,9 @@
     const now = readClock();
     this.upstream.lastReceivedAt = now;
     if (status < 200 || this.isFinished) return;
-    const response = this.codec.readAnswer(status, headers);
+    const response = this.codec.readResponse(status, headers);
     // Another upstream that now has this address reports only its own availability.
-    if (!response.isOtherUpstream) {
+    if (!response.isFromOtherUpstream) {
       this.upstream.availability.recordNotice(response.availability, now);
     }
     if (!response.isNotRun) this.upstream.availability.recordAccepted();
@@ -174,7 +174,7 @@
       const requests = response.load.running + response.load.waiting;
       this.upstream.reported = { requests, at: now };
     }
-    if (response.isClosing) this.isReusable = false;
+    if (response.closesConnection) this.isReusable = false;
     if (response.requestId !== undefined && response.requestId !== requestId) {
       return this.fail(`answer to another request ${response.requestId}`);
     }
@@ -183,7 +183,7 @@
     this.listener.onHead(status, response);
   }
 
-  private onLateHead(status: number, headers: AnswerHeaders): void {
+  private onLateHead(status: number, headers: ResponseHeaders): void {
     this.close();
     if (headers.isNotRun) this.listener.onLateDecline(status, headers);
   }
--- a/src/forward/call_deadline.ts
+++ b/src/forward/call_deadline.ts
@@ -23,7 +23,7 @@
 
   /** Remaining time in milliseconds. */
   get remainingMs(): number {
-    const { receivedAt, callerEndsAt } = this.call;
+    const { receivedAt, callerDeadlineAt: callerEndsAt } = this.call;
     const deadlineAt = Math.min(callerEndsAt, receivedAt + this.timeoutMs);
     return deadlineAt - readClock();
   }
--- a/src/forward/call_run.ts
+++ b/src/forward/call_forwarder.ts
@@ -4,8 +4,8 @@
 import type { Route } from "../published/configuration_schema.ts";
 import type { UpstreamChoice } from "../upstreams/choose_upstream.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import { isFailureStatus, isNotRunStatus } from "./answer_status.ts";
-import { ResponseRelay } from "./answer_relay.ts";
+import { isFailureStatus, isNotRunStatus } from "./response_status.ts";
+import { ResponseRelay } from "./response_relay.ts";
 import {
   Attempt,
   type AttemptFailure,
@@ -14,23 +14,26 @@
 import { AttemptBudget } from "./attempt_budget.ts";
 import { type AttemptProgress, CallLog } from "./call_log.ts";
 import { CallDeadline } from "./call_deadline.ts";
-import type { CallForwarderContext, CallOutcome } from "./call_run_context.ts";
-import type { CallerAnswer } from "./caller_answer.ts";
-import type { AnswerHeaders } from "./caller_headers.ts";
+import type {
+  CallForwarderContext,
+  CallOutcome,
+} from "./call_forwarder_context.ts";
+import type { CallerResponse } from "./caller_response.ts";
+import type { ResponseHeaders } from "./caller_headers.ts";
 import { buildAttemptRequest } from "./build_attempt_request.ts";
-import { isPrefillCostly } from "./is_dear_to_reread.ts";
+import { isPrefillCostly } from "./is_prefill_costly.ts";
 import {
   formatSilence,
   type Silence,
   SilenceDetector,
-} from "./silence_watch.ts";
+} from "./silence_detector.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
 /** An attempt is not started with less time than this left, in milliseconds. */
 const MIN_REMAINING_MS = 15;
 
 /** Forwards one call: makes attempts at upstreams until one responds or the deadline or the retries are exhausted. */
-export class CallRun {
+export class CallForwarder {
   private readonly triedUpstreamIds = new Set<string>();
   private readonly budget: AttemptBudget;
   private readonly relay: ResponseRelay;
@@ -43,7 +46,7 @@
   private constructor(
     /** The call that is forwarded. */
     readonly call: RoutedCall,
-    private readonly response: CallerAnswer,
+    private readonly response: CallerResponse,
     private readonly context: CallForwarderContext,
   ) {
     this.deadline = CallDeadline.create(call, () => this.expire());
@@ -58,10 +61,10 @@
    * @param context Dependencies on the rest of the process. */
   static create(
     call: RoutedCall,
-    response: CallerAnswer,
+    response: CallerResponse,
     context: CallForwarderContext,
-  ): CallRun {
-    const forwarder = new CallRun(call, response, context);
+  ): CallForwarder {
+    const forwarder = new CallForwarder(call, response, context);
     forwarder.sendToNext("first");
     return forwarder;
   }
@@ -74,14 +77,14 @@
 
   /** Refuses the call because its request is now held, unless the attempt in progress has already forwarded events: an
    * unanswered attempt is likely to crash one more upstream. */
-  holdBack(): void {
+  refuseAsHeld(): void {
     if (this.relay.hasPartialResponse) return;
     this.refuseHeld("held while under way");
   }
 
   /** Fails the attempt in progress at an upstream that has restarted: its old connection may never be closed.
    * @param upstream The instance before the restart. */
-  loseUpstream(upstream: Upstream): void {
+  failAttemptAt(upstream: Upstream): void {
     if (this.isFinished || this.attempt?.upstream !== upstream) return;
     if (!this.attempt.isInProgress) return;
     this.attempt.abandon();
@@ -89,7 +92,7 @@
   }
 
   /** Ends the call because the caller has disconnected. */
-  abandon(): void {
+  endForCallerGone(): void {
     this.finish("caller_gone", "the caller closed its connection");
   }
 
@@ -136,7 +139,7 @@
     if (remainingMs < MIN_REMAINING_MS) return this.giveUp("no time left");
     this.watchForSilence(upstream);
     const prompt = context.placePrompt(call, upstream);
-    const load = context.noteSend(choice);
+    const load = context.recordSend(choice);
     this.log.logSent({ choice, reason, remainingMs, load, prompt });
     const { lastEventId } = this.relay;
     const fetchFrom = prompt?.fetchFrom;
@@ -175,12 +178,12 @@
     });
   }
 
-  private onHead(status: number, headers: AnswerHeaders): void {
+  private onHead(status: number, headers: ResponseHeaders): void {
     const upstream = this.attempt!.upstream;
     if (headers.isNotRun) return this.onDecline(upstream, status, headers);
     const isSuccess = status >= 200 && status < 300;
     const isForThisRequest = headers.requestId === this.call.requestId;
-    if (isSuccess && !(headers.hasProof && isForThisRequest)) {
+    if (isSuccess && !(headers.hasSeal && isForThisRequest)) {
       this.attempt!.abandon();
       return this.onFailure("broken", "a success without proof or id");
     }
@@ -191,7 +194,7 @@
   private onDecline(
     upstream: Upstream,
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
   ): void {
     this.attempt!.abandon();
     this.attempt = undefined;
@@ -203,9 +206,9 @@
   private recordDecline(
     upstream: Upstream,
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
   ): void {
-    if (headers.isOtherUpstream) this.context.noteMoved(upstream);
+    if (headers.isFromOtherUpstream) this.context.recordMoved(upstream);
     else upstream.availability.recordDecline(readClock());
     const { availability } = headers;
     this.log.logDeclined(upstream, status, availability, this.progress);
@@ -216,7 +219,7 @@
     if (this.isFinished || this.attempt?.isPaused) return;
     const { silentMs, isLikelyStuck } = silence;
     this.log.logFailed(upstream, formatSilence(silentMs), this.progress);
-    this.context.noteHealth(upstream, "silent");
+    this.context.recordHealth(upstream, "silent");
     if (isLikelyStuck) this.sendElsewhere(upstream, silentMs);
   }
 
@@ -252,18 +255,18 @@
     if (!head) return this.onFailure("broken", "an end without a head");
     if (this.relay.isStream) return this.onStreamEnd(upstream);
     const { status } = head;
-    this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
+    this.context.recordCompletion(this.call, this.attempt!.elapsedMs);
     this.context.crashes.recordCompletion(this.call.fingerprint);
     const { backoffMs } = head.headers.availability;
     if (isFailureStatus(status)) {
       if (backoffMs === undefined) {
-        this.context.noteHealth(upstream, "error_answer");
+        this.context.recordHealth(upstream, "error_answer");
       }
       this.budget.recordRan();
       if (this.budget.spendRetryAfterRun()) {
         return this.sendToNext(`answered with ${status}`);
       }
-    } else this.context.noteHealth(upstream, "good");
+    } else this.context.recordHealth(upstream, "good");
     // Callers read these statuses as a promise that the request has not run, which the upstream did not state.
     if (isNotRunStatus(status)) {
       return this.refuse("upstream_failed", `answered with ${status}`);
@@ -276,8 +279,8 @@
     if (this.relay.hasIncompleteEvent) {
       return this.onFailure("broken", "the stream ended within an event");
     }
-    this.context.noteHealth(upstream, "good");
-    this.context.noteCompleted(this.call, this.attempt!.elapsedMs);
+    this.context.recordHealth(upstream, "good");
+    this.context.recordCompletion(this.call, this.attempt!.elapsedMs);
     this.context.crashes.recordCompletion(this.call.fingerprint);
     this.relay.endStream();
     this.finish("answered", `${this.relay.eventsForwarded} events`);
@@ -287,7 +290,7 @@
     const upstream = this.attempt!.upstream;
     this.log.logFailed(upstream, detail, this.progress);
     if (failure !== "broken") return this.onUnsent(upstream, failure, detail);
-    this.context.noteHealth(upstream, "broken");
+    this.context.recordHealth(upstream, "broken");
     this.context.crashes.recordInterruption(
       upstream,
       this.call.fingerprint,
@@ -305,7 +308,7 @@
   ): void {
     this.budget.recordNotRun();
     if (failure === "not_sent") {
-      this.context.noteHealth(upstream, "unreachable");
+      this.context.recordHealth(upstream, "unreachable");
     }
     if (this.budget.allowsRetryAfterUnsent()) return this.sendToNext(detail);
     this.giveUp(detail);
--- a/src/forward/call_run_context.ts
+++ b/src/forward/call_forwarder_context.ts
@@ -3,8 +3,8 @@
 import type { UpstreamChoice } from "../upstreams/choose_upstream.ts";
 import type { LoadSnapshot } from "../upstreams/load_snapshot.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import type { PromptPlace } from "./call_log.ts";
-import type { CallRun } from "./call_run.ts";
+import type { PromptPlacement } from "./call_log.ts";
+import type { CallForwarder } from "./call_forwarder.ts";
 import type { HeaderCodec } from "./caller_headers.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
@@ -29,17 +29,20 @@
   getRetryAfterMs: (service: string) => number | undefined;
   /** Returns what an engine has cached of a call's prompt and where it should fetch the rest from, and records that the
    * prompt is sent there; undefined if the call shares no prompt. */
-  placePrompt: (call: RoutedCall, target: Upstream) => PromptPlace | undefined;
+  placePrompt: (
+    call: RoutedCall,
+    target: Upstream,
+  ) => PromptPlacement | undefined;
   /** Records that a request is sent; returns the known load of the upstream. */
-  noteSend: (choice: UpstreamChoice) => LoadSnapshot;
+  recordSend: (choice: UpstreamChoice) => LoadSnapshot;
   /** Records a complete response, with the milliseconds since the request was sent. */
-  noteCompleted: (call: RoutedCall, durationMs: number) => void;
+  recordCompletion: (call: RoutedCall, durationMs: number) => void;
   /** Takes a retry from the budget of a service; returns whether one was left. */
   spendRetry: (service: string) => boolean;
   /** Records what an attempt shows about the health of its upstream. */
-  noteHealth: (upstream: Upstream, sign: HealthSignal) => void;
+  recordHealth: (upstream: Upstream, sign: HealthSignal) => void;
   /** Records that the address of an upstream now belongs to another one. */
-  noteMoved: (upstream: Upstream) => void;
+  recordMoved: (upstream: Upstream) => void;
 }
 
 /** Reports and checks for requests that may crash upstreams. */
@@ -62,5 +65,5 @@
   codec: HeaderCodec;
   crashes: CrashAccess;
   /** Called once when the call has ended. */
-  onEnd: (forwarder: CallRun, outcome: CallOutcome) => void;
+  onEnd: (forwarder: CallForwarder, outcome: CallOutcome) => void;
 }
--- a/src/forward/call_log.ts
+++ b/src/forward/call_log.ts
@@ -16,11 +16,11 @@
   /** The known load of the upstream. */
   load: LoadSnapshot;
   /** What the upstream is assumed to have cached of the prompt; undefined if the request shares no prompt. */
-  prompt: PromptPlace | undefined;
+  prompt: PromptPlacement | undefined;
 }
 
 /** What an upstream is assumed to have cached of a prompt that is sent to it. */
-export interface PromptPlace {
+export interface PromptPlacement {
   /** Hash of the last shared part. */
   part: number;
   /** Number of tokens in the shared parts. */
--- a/src/forward/caller_headers.ts
+++ b/src/forward/caller_headers.ts
@@ -32,7 +32,7 @@
   lastEventId: string | undefined;
   /** Headers to forward unchanged, as alternating names and values: without hop-by-hop headers and without those that
    * the system sets itself. */
-  passedOn: readonly string[];
+  forwardedHeaders: readonly string[];
 }
 
 /** Values that the system adds to a request for an upstream, in addition to the caller's headers. */
@@ -58,24 +58,24 @@
 }
 
 /** The parsed headers of an upstream's response. */
-export interface AnswerHeaders {
+export interface ResponseHeaders {
   /** Id of the request that the response belongs to. */
   requestId: string | undefined;
   /** Whether the upstream states that it has not run the request and never will. */
   isNotRun: boolean;
   /** Whether the response is from another upstream that now has the address. */
-  isOtherUpstream: boolean;
+  isFromOtherUpstream: boolean;
   /** Whether the upstream's response seal is present; without it a response does not count as a success. */
-  hasProof: boolean;
+  hasSeal: boolean;
   isEventStream: boolean;
   /** Undefined if the upstream does not report it. */
   load: ReportedLoad | undefined;
   /** Whether the upstream accepts further requests. */
   availability: AvailabilityNotice;
   /** Whether the upstream will close the connection. */
-  isClosing: boolean;
+  closesConnection: boolean;
   /** Headers to forward to the caller, as alternating names and values. */
-  passedBack: readonly string[];
+  forwardedHeaders: readonly string[];
 }
 
 /** Parses and writes headers; implemented by the adapter of a platform. */
@@ -93,8 +93,8 @@
   /** Parses the headers of a response.
    * @param status Status code of the response.
    * @param headers Headers by lower-case name. */
-  readAnswer(
+  readResponse(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ): AnswerHeaders;
+  ): ResponseHeaders;
 }
--- a/src/forward/caller_answer.ts
+++ b/src/forward/caller_response.ts
@@ -5,7 +5,7 @@
 const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** The response to one caller; sent once, either complete or as a stream. */
-export class CallerAnswer {
+export class CallerResponse {
   private isStarted = false;
   private isFinished = false;
 
@@ -21,8 +21,8 @@
   static create(
     response: ServerResponse,
     closesConnection: () => boolean,
-  ): CallerAnswer {
-    return new CallerAnswer(response, closesConnection);
+  ): CallerResponse {
+    return new CallerResponse(response, closesConnection);
   }
 
   /** Whether the head of the response has been written. */
--- a/src/forward/answer_relay.ts
+++ b/src/forward/response_relay.ts
@@ -1,5 +1,5 @@
-import type { CallerAnswer } from "./caller_answer.ts";
-import type { AnswerHeaders } from "./caller_headers.ts";
+import type { CallerResponse } from "./caller_response.ts";
+import type { ResponseHeaders } from "./caller_headers.ts";
 import { EventSplitter } from "./event_splitter.ts";
 
 /** Pauses and resumes reading the response of an upstream. */
@@ -11,7 +11,7 @@
 /** Status and headers of an upstream's response. */
 export interface ResponseHead {
   status: number;
-  headers: AnswerHeaders;
+  headers: ResponseHeaders;
 }
 
 /** Forwards responses of upstreams to the caller: an event stream event by event, anything else once it is complete. */
@@ -24,7 +24,7 @@
   private forwardedEventsBefore = 0;
 
   private constructor(
-    private readonly response: CallerAnswer,
+    private readonly response: CallerResponse,
     lastEventId: string | undefined,
   ) {
     this.lastId = lastEventId;
@@ -34,7 +34,7 @@
    * @param response The response to the caller.
    * @param lastEventId Id of the last event that the caller has received, if it resumes a stream. */
   static create(
-    response: CallerAnswer,
+    response: CallerResponse,
     lastEventId: string | undefined,
   ): ResponseRelay {
     return new ResponseRelay(response, lastEventId);
@@ -105,7 +105,7 @@
     const { status, headers } = this.currentHead!;
     this.response.sendComplete(
       status,
-      headers.passedBack,
+      headers.forwardedHeaders,
       Buffer.concat(this.body),
     );
   }
@@ -130,7 +130,10 @@
   private beginStream(): void {
     if (this.response.hasStarted) return;
     const { status, headers } = this.currentHead!;
-    this.response.beginStream(status, removeContentLength(headers.passedBack));
+    this.response.beginStream(
+      status,
+      removeContentLength(headers.forwardedHeaders),
+    );
   }
 }
 
--- a/src/forward/routed_call.ts
+++ b/src/forward/routed_call.ts
@@ -25,7 +25,7 @@
   /** Monotonic time at which the request arrived, in milliseconds. */
   receivedAt: number;
   /** Monotonic time until which the caller waits, in milliseconds; infinity if it gives no deadline. */
-  callerEndsAt: number;
+  callerDeadlineAt: number;
 }
 
 /** Whether a request may run again after an attempt that may have run it.
--- a/src/gateway/call_handler.ts
+++ b/src/gateway/call_handler.ts
@@ -5,12 +5,12 @@
 import { readBody } from "../entry/read_body.ts";
 import { Failure } from "../errors/failure.ts";
 import { admitCall, type AdmittedCall } from "../forward/admit_call.ts";
-import { CallRun } from "../forward/call_run.ts";
+import { CallForwarder } from "../forward/call_forwarder.ts";
 import type {
   CallOutcome,
   UpstreamAccess,
-} from "../forward/call_run_context.ts";
-import { CallerAnswer } from "../forward/caller_answer.ts";
+} from "../forward/call_forwarder_context.ts";
+import { CallerResponse } from "../forward/caller_response.ts";
 import type { CallerHeaders, HeaderCodec } from "../forward/caller_headers.ts";
 import { fingerprintRequest } from "../hashing/request_fingerprint.ts";
 import type { RoutedCall } from "../forward/routed_call.ts";
@@ -56,7 +56,7 @@
 
 /** Admits callers' requests, reads their bodies and starts their runs. */
 export class CallHandler {
-  private readonly runs = new Set<CallRun>();
+  private readonly runs = new Set<CallForwarder>();
   private pendingAdmissions = 0;
 
   private constructor(private readonly options: CallHandlerOptions) {}
@@ -78,7 +78,7 @@
   handle(request: IncomingMessage, response: ServerResponse): void {
     const receivedAt = readClock();
     const headers = this.options.codec.readCaller(request.rawHeaders);
-    const answer = CallerAnswer.create(response, this.options.isLeaving);
+    const answer = CallerResponse.create(response, this.options.isLeaving);
     this.pendingAdmissions += 1;
     void this.admitAndRun(request, response, headers, answer, receivedAt)
       .finally(
@@ -98,21 +98,21 @@
    * @param fingerprint Fingerprint of the request. */
   endHeldRuns(fingerprint: number): void {
     for (const run of [...this.runs]) {
-      if (run.call.fingerprint === fingerprint) run.holdBack();
+      if (run.call.fingerprint === fingerprint) run.refuseAsHeld();
     }
   }
 
   /** Fails the attempts on an upstream process that no longer runs.
    * @param upstream The upstream as it was before its restart. */
   failAttemptsOn(upstream: Upstream): void {
-    for (const run of [...this.runs]) run.loseUpstream(upstream);
+    for (const run of [...this.runs]) run.failAttemptAt(upstream);
   }
 
   private async admitAndRun(
     request: IncomingMessage,
     response: ServerResponse,
     headers: CallerHeaders,
-    answer: CallerAnswer,
+    answer: CallerResponse,
     receivedAt: number,
   ): Promise<void> {
     try {
@@ -153,7 +153,7 @@
       method: request.method ?? "GET",
       path: request.url ?? "/",
       receivedAt,
-      mayHonourKeys: this.options.mayAcceptKeys(),
+      acceptsKeys: this.options.mayAcceptKeys(),
     });
     if (admitted.isErr()) throw admitted.error;
     return admitted.value;
@@ -162,7 +162,7 @@
   private start(
     admitted: AdmittedCall,
     body: Buffer,
-    answer: CallerAnswer,
+    answer: CallerResponse,
     response: ServerResponse,
   ): void {
     const call = buildRoutedCall(admitted, body);
@@ -171,7 +171,7 @@
     this.options.onRequestAdmitted(call.service);
     const { logger, codec, guard } = this.options;
     let isEnded = false;
-    const run = CallRun.create(call, answer, {
+    const run = CallForwarder.create(call, answer, {
       ...this.options.upstreamAccess,
       logger,
       codec,
@@ -185,7 +185,7 @@
     if (isEnded) return;
     this.runs.add(run);
     response.once("close", () => {
-      if (!response.writableFinished) run.abandon();
+      if (!response.writableFinished) run.endForCallerGone();
     });
   }
 
@@ -208,7 +208,7 @@
   private refuse(
     failure: Failure,
     headers: CallerHeaders,
-    answer: CallerAnswer,
+    answer: CallerResponse,
     request: IncomingMessage,
   ): void {
     this.options.metrics.recordRefusal(failure.kind);
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -1,8 +1,8 @@
 import { AdmissionController } from "../admission/admission_controller.ts";
 import { readClock } from "../clock/clock.ts";
 import type { Logger } from "../logging/logger.ts";
-import type { UpstreamAccess } from "../forward/call_run_context.ts";
-import type { PromptPlace } from "../forward/call_log.ts";
+import type { UpstreamAccess } from "../forward/call_forwarder_context.ts";
+import type { PromptPlacement } from "../forward/call_log.ts";
 import { mayRunAgain, type RoutedCall } from "../forward/routed_call.ts";
 import type { Service } from "../published/configuration_schema.ts";
 import { Random } from "../random/random.ts";
@@ -110,12 +110,12 @@
       choose: (call, tried) => this.choose(call, tried),
       getRetryAfterMs: (service) => this.getRetryAfterMs(service),
       placePrompt: (call, target) => this.placePrompt(call, target),
-      noteSend: (choice) => this.recordSend(choice),
-      noteCompleted: ({ service, route }, durationMs) =>
+      recordSend: (choice) => this.recordSend(choice),
+      recordCompletion: ({ service, route }, durationMs) =>
         this.admission.recordCompletion(service, route.name, durationMs),
       spendRetry: (service) => this.spendRetry(service),
-      noteHealth: (upstream, sign) => this.recordHealthSignal(upstream, sign),
-      noteMoved: (upstream) => this.upstreams.remove(upstream),
+      recordHealth: (upstream, sign) => this.recordHealthSignal(upstream, sign),
+      recordMoved: (upstream) => this.upstreams.remove(upstream),
     };
   }
 
@@ -202,7 +202,7 @@
   private placePrompt(
     call: RoutedCall,
     target: Upstream,
-  ): PromptPlace | undefined {
+  ): PromptPlacement | undefined {
     const { sharedParts, service } = call;
     const deepest = sharedParts.at(-1);
     if (!deepest) return undefined;
--- a/tests/crashes/crash_detector_test.ts
+++ b/tests/crashes/crash_detector_test.ts
@@ -13,7 +13,7 @@
   type CheckResult,
 } from "../../src/crashes/connection_check.ts";
 import { waitUntil } from "../system/with_fleet.ts";
-import { createDeferred } from "../forward/run_call.ts";
+import { createDeferred } from "../forward/forward_call.ts";
 
 const UPSTREAM: UpstreamInstance = {
   id: "u-1",
--- a/tests/forward/attempt_test.ts
+++ b/tests/forward/attempt_test.ts
@@ -4,9 +4,9 @@
 import test from "ava";
 import { platformHeaders } from "../../platform/header_codec.ts";
 import { Attempt } from "../../src/forward/attempt.ts";
-import type { AnswerHeaders } from "../../src/forward/caller_headers.ts";
+import type { ResponseHeaders } from "../../src/forward/caller_headers.ts";
 import { Upstream } from "../../src/upstreams/upstream.ts";
-import { createDeferred } from "./run_call.ts";
+import { createDeferred } from "./forward_call.ts";
 
 const REQUEST_ID = "r-1";
 const REQUEST = {
@@ -137,7 +137,7 @@
 
 /** How an abandoned attempt ended: with a late decline or with the close of its connection. */
 type AbandonedResult =
-  | { type: "declined"; status: number; answer: AnswerHeaders }
+  | { type: "declined"; status: number; answer: ResponseHeaders }
   | { type: "closed" };
 
 /** Sends a request, abandons the attempt once the upstream has received it, and sends the response afterwards. */
--- a/tests/forward/call_run_test.ts
+++ b/tests/forward/call_forwarder_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import type { Upstream } from "../../src/upstreams/upstream.ts";
-import { createDeferred, forwardCall } from "./run_call.ts";
+import { createDeferred, forwardCall } from "./forward_call.ts";
 import {
   type Behaviour,
   declines,
@@ -223,7 +223,7 @@
   const arrived = createDeferred<void>();
   const received = await forwardCall([() => arrived.resolve()], {}, {
     onStart: (forwarder) =>
-      void arrived.promise.then(() => forwarder.holdBack()),
+      void arrived.promise.then(() => forwarder.refuseAsHeld()),
   });
   t.is(received.status, 502);
 });
--- a/tests/forward/run_call.ts
+++ b/tests/forward/forward_call.ts
@@ -3,12 +3,12 @@
 import type { AddressInfo } from "node:net";
 import { pino } from "pino";
 import { platformHeaders } from "../../platform/header_codec.ts";
-import { CallRun } from "../../src/forward/call_run.ts";
+import { CallForwarder } from "../../src/forward/call_forwarder.ts";
 import type {
   CallOutcome,
   CrashAccess,
-} from "../../src/forward/call_run_context.ts";
-import { CallerAnswer } from "../../src/forward/caller_answer.ts";
+} from "../../src/forward/call_forwarder_context.ts";
+import { CallerResponse } from "../../src/forward/caller_response.ts";
 import type { RoutedCall } from "../../src/forward/routed_call.ts";
 import type { Route } from "../../src/published/configuration_schema.ts";
 import type { HashedPromptPart } from "../../src/upstreams/prefix_index.ts";
@@ -29,7 +29,7 @@
 /** Options that differ from a usual call. */
 export interface ForwardCallOptions {
   /** Called once the first attempt has been started. */
-  onStart?: (forwarder: CallRun, route: Route) => void;
+  onStart?: (forwarder: CallForwarder, route: Route) => void;
   /** Called with the upstreams before the call. */
   prepare?: (upstreams: readonly Upstream[]) => void;
   /** Shared parts of the call's prompt. */
@@ -64,7 +64,7 @@
     urgency: 0,
     sharedParts,
     receivedAt,
-    callerEndsAt: receivedAt + 10_000,
+    callerDeadlineAt: receivedAt + 10_000,
   };
 }
 
@@ -130,8 +130,8 @@
   const ended = createDeferred<CallOutcome>();
   const loads = LoadCounts.create();
   const callerFacingServer = createServer((_request, response) => {
-    const answer = CallerAnswer.create(response, () => false);
-    const forwarder = CallRun.create(call, answer, {
+    const answer = CallerResponse.create(response, () => false);
+    const forwarder = CallForwarder.create(call, answer, {
       logger: pino({ level: "silent" }),
       codec: platformHeaders,
       choose: (_call, tried) => {
@@ -141,12 +141,12 @@
       },
       getRetryAfterMs: () => retryAfterMs,
       placePrompt: () => undefined,
-      noteSend: ({ upstream }) =>
+      recordSend: ({ upstream }) =>
         loads.getSnapshot(upstream, performance.now()),
-      noteCompleted: () => undefined,
+      recordCompletion: () => undefined,
       spendRetry: () => true,
-      noteHealth: () => undefined,
-      noteMoved: () => undefined,
+      recordHealth: () => undefined,
+      recordMoved: () => undefined,
       crashes: {
         mayRetry: () => true,
         recordInterruption: () => undefined,
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -258,7 +258,7 @@
           },
         () => {
           upstream.ownRequests -= 1;
-          access.noteCompleted(call, timeline.read() - sentAt);
+          access.recordCompletion(call, timeline.read() - sentAt);
         },
       );
     });
@@ -287,6 +287,6 @@
     urgency: 0,
     sharedParts: [{ name: prompt, tokens }],
     receivedAt: 0,
-    callerEndsAt: Infinity,
+    callerDeadlineAt: Infinity,
   };
 }
--- a/tests/platform/header_codec_test.ts
+++ b/tests/platform/header_codec_test.ts
@@ -93,7 +93,7 @@
     "Connection",
     "close, X-Other, X-Beechkeel-Model",
   ]);
-  const forwarded = toMap(caller.passedOn);
+  const forwarded = toMap(caller.forwardedHeaders);
   t.false(forwarded.has("connection"));
   t.false(forwarded.has("x-other"));
   t.is(forwarded.get("x-beechkeel-model"), "m");
@@ -108,7 +108,7 @@
 
 test("a request counts as not run only if the upstream says so", (t) => {
   const read = (status: number, headers: Record<string, string>) =>
-    platformHeaders.readAnswer(status, headers).isNotRun;
+    platformHeaders.readResponse(status, headers).isNotRun;
   t.true(read(503, { "x-beechkeel-not-executed": "1" }));
   t.true(read(421, {}));
   t.false(read(503, {}));
@@ -117,7 +117,7 @@
 
 test("an upstream's load header is read, and a malformed one is ignored", (t) => {
   const read = (load: string) =>
-    platformHeaders.readAnswer(200, { "x-beechkeel-server-load": load }).load;
+    platformHeaders.readResponse(200, { "x-beechkeel-server-load": load }).load;
   t.deepEqual(read("3,1,8"), { running: 3, waiting: 1 });
   t.is(read("many"), undefined);
   t.is(read(""), undefined);
