--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -2,7 +2,7 @@
 import type { CrashGuard } from "../crashes/crash_guard.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
-import type { LoadBook } from "../owner/load_book.ts";
+import type { LoadTable } from "../owner/load_table.ts";
 import type { PeerDirectory } from "../peer/peer_directory.ts";
 import type { PlacementTable } from "../placement/placement_table.ts";
 import { POLICIES } from "../placement/policies.ts";
@@ -32,7 +32,7 @@
   settings: Settings;
   logger: Logger;
   directory: PeerDirectory;
-  loads: LoadBook;
+  loads: LoadTable;
   crashGuard: CrashGuard;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
--- a/src/owner/foreign_load.ts
+++ b/src/owner/foreign_load_estimator.ts
@@ -1,4 +1,4 @@
-import { getMaximumUnadvertised } from "./told_loads.ts";
+import { getMaximumUnadvertised } from "./advertised_loads.ts";
 
 /** Time for which samples of the own load are kept: covers the delay of reports and the interval between them. */
 const OWN_LOAD_WINDOW_MS = 2_000;
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -13,7 +13,7 @@
 import { Job } from "./job.ts";
 import { JobTable } from "./job_table.ts";
 import type { OwnedUpstream } from "./owned_upstream.ts";
-import { AdvertisedLoads } from "./told_loads.ts";
+import { AdvertisedLoads } from "./advertised_loads.ts";
 import type { UpstreamRegistry } from "./upstream_registry.ts";
 
 /** Time within which an entry router must answer a claim. */
--- a/src/owner/load_bound.ts
+++ b/src/owner/load_bound.ts
@@ -1,4 +1,4 @@
-import type { PoolMeans } from "./load_book.ts";
+import type { PoolMeans } from "./load_table.ts";
 
 /** Inputs from which the load bound of one upstream is computed. */
 export interface LoadBoundInputs {
--- a/src/owner/load_book.ts
+++ b/src/owner/load_table.ts
@@ -29,14 +29,14 @@
 }
 
 /** The loads of upstreams as last advertised by the routers that own them. */
-export class LoadBook {
+export class LoadTable {
   private readonly entries = new Map<number, Entry>();
 
   private constructor() {}
 
   /** Creates an empty instance. */
-  static create(): LoadBook {
-    return new LoadBook();
+  static create(): LoadTable {
+    return new LoadTable();
   }
 
   /** Records advertised loads.
--- a/src/owner/owned_upstream.ts
+++ b/src/owner/owned_upstream.ts
@@ -5,7 +5,10 @@
 } from "../upstream/upstream_client.ts";
 import { processTimeline, type Timeline } from "../clock/timeline.ts";
 import { FairQueue } from "./fair_queue.ts";
-import { ForeignLoadEstimator, REPORT_CATCH_UP_MS } from "./foreign_load.ts";
+import {
+  ForeignLoadEstimator,
+  REPORT_CATCH_UP_MS,
+} from "./foreign_load_estimator.ts";
 import type { Job } from "./job.ts";
 
 /** Number of consecutive failed reports from which an upstream counts as unreachable. */
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -84,7 +84,7 @@
 
   /** Stops the jobs of an entry router whose connection has closed.
    * @param port The connection. */
-  portClosed(port: FramePort): void {
+  handlePortClosed(port: FramePort): void {
     this.actor.tell("portClosed", port);
   }
 
@@ -96,7 +96,7 @@
   /** Records the loads that another router advertises for the upstreams that it owns.
    * @param routerId The other router.
    * @param loads Pairs of the hash of an upstream's id and its requests in flight. */
-  takePeerLoads(routerId: string, loads: readonly [number, number][]): void {
+  recordPeerLoads(routerId: string, loads: readonly [number, number][]): void {
     this.registry.recordPeerLoads(routerId, loads);
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Handles a pause of this process: loads known from before it are no longer used. */
-  notePause(): void {
+  handlePause(): void {
     this.registry.handlePause();
   }
 
--- a/src/owner/owner_options.ts
+++ b/src/owner/owner_options.ts
@@ -5,7 +5,7 @@
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { PlacementTable } from "../placement/placement_table.ts";
 import type { Settings } from "../settings/settings_schema.ts";
-import type { LoadBook } from "./load_book.ts";
+import type { LoadTable } from "./load_table.ts";
 
 /** Dependencies of the owner. */
 export interface OwnerOptions {
@@ -14,7 +14,7 @@
   guard: PauseGuard;
   logger: Logger;
   audit: AuditTrail;
-  loads: LoadBook;
+  loads: LoadTable;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
   /** Called when the load of an upstream has grown so much that it must be advertised to peers at once. */
--- a/src/owner/heard_share.ts
+++ b/src/owner/reachable_fraction.ts
@@ -4,15 +4,15 @@
 
 /** The fraction of routers that the load bound assumes to be reachable. Decreases take effect at once, increases after
  * a delay. */
-export class ReachableShare {
+export class ReachableFraction {
   private effective = 1;
   private increaseSince: number | undefined;
 
   private constructor() {}
 
   /** Creates an instance for a router that reaches all others. */
-  static create(): ReachableShare {
-    return new ReachableShare();
+  static create(): ReachableFraction {
+    return new ReachableFraction();
   }
 
   /** Records the observed fraction and returns the one in effect.
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -8,8 +8,8 @@
 import type { Host } from "../configuration_service/host_schema.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { logAvailabilityChange } from "../upstreams/log_availability_change.ts";
-import { REPORT_CATCH_UP_MS } from "./foreign_load.ts";
-import { ReachableShare } from "./heard_share.ts";
+import { REPORT_CATCH_UP_MS } from "./foreign_load_estimator.ts";
+import { ReachableFraction } from "./reachable_fraction.ts";
 import {
   chooseMean,
   computeCap,
@@ -18,10 +18,10 @@
   RESERVED_SLOTS,
 } from "./load_bound.ts";
 import {
-  type LoadBook,
+  type LoadTable,
   MAX_FORMER_OWNER_LOAD_AGE_MS,
   UNREACHABLE_LOAD,
-} from "./load_book.ts";
+} from "./load_table.ts";
 import { OwnedUpstream } from "./owned_upstream.ts";
 
 /** Index, in the ordered owners of an upstream, of the backup owner. It accepts requests of entry routers that cannot
@@ -33,7 +33,7 @@
   settings: Settings;
   logger: Logger;
   audit: AuditTrail;
-  loads: LoadBook;
+  loads: LoadTable;
   getView: () => FleetView;
   getPlacement: () => PlacementTable;
   /** Requests a report from an upstream. */
@@ -45,7 +45,7 @@
 /** The upstreams that a router owns or still has work on, and their load bounds. */
 export class UpstreamRegistry {
   private readonly upstreams = new Map<string, OwnedUpstream>();
-  private readonly share = ReachableShare.create();
+  private readonly share = ReachableFraction.create();
   /** Routers that have advertised their loads. */
   private readonly advertisers = new Set<string>();
 
--- a/src/router/frame_handlers.ts
+++ b/src/router/frame_handlers.ts
@@ -61,7 +61,7 @@
       (handler as (port: FramePort, frame: Frame) => void)(port, frame);
     } else port.close();
   });
-  port.onClose(() => components.owner.portClosed(port));
+  port.onClose(() => components.owner.handlePortClosed(port));
 }
 
 async function sendOutcome(
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -17,7 +17,7 @@
 import { FleetView } from "../membership/fleet_view.ts";
 import { Membership } from "../membership/membership.ts";
 import { Metrics } from "../metrics/metrics.ts";
-import { LoadBook } from "../owner/load_book.ts";
+import { LoadTable } from "../owner/load_table.ts";
 import { Owner } from "../owner/owner.ts";
 import { FleetSecret } from "../peer/fleet_secret.ts";
 import { PeerDirectory } from "../peer/peer_directory.ts";
@@ -52,7 +52,7 @@
   private readonly system: ActorSystem = startActorSystem();
   private readonly pauseGuard: PauseGuard;
   private readonly authenticator: FleetSecret;
-  private readonly loads = LoadBook.create();
+  private readonly loads = LoadTable.create();
   /** @internal */
   readonly outcomes: OutcomeStore;
   private readonly connectionPool: PeerDirectory;
@@ -214,7 +214,7 @@
       getLoads: () => this.owner.getLoads(),
       onPeerConfiguration: (id, digest, revision) =>
         this.configuration.noticePeer(id, digest, revision),
-      onPeerLoads: (id, loads) => this.owner.takePeerLoads(id, loads),
+      onPeerLoads: (id, loads) => this.owner.recordPeerLoads(id, loads),
       onNewerHostList: (id, version) =>
         this.hostListPuller.handleNewerVersion(id, version),
       onView: (view) => this.applyView(view),
@@ -298,7 +298,7 @@
 
   private handlePause(gapMs: number): void {
     this.membership?.cancelProbes();
-    this.owner.notePause();
+    this.owner.handlePause();
     this.logger.warn({ gapMs: Math.round(gapMs) }, "process_was_paused");
   }
 
--- a/tests/owner/told_loads_test.ts
+++ b/tests/owner/advertised_loads_test.ts
@@ -3,7 +3,7 @@
 import {
   AdvertisedLoads,
   getMaximumUnadvertised,
-} from "../../src/owner/told_loads.ts";
+} from "../../src/owner/advertised_loads.ts";
 
 test("an upstream's load exceeds the advertised load by less than a new owner assumes", (t) => {
   const changes = fc.array(fc.array(fc.nat({ max: 40 }), {
--- a/tests/owner/load_book_test.ts
+++ b/tests/owner/load_table_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { hashText } from "../../src/hashing/hasher.ts";
 import { chooseMean, computeCap } from "../../src/owner/load_bound.ts";
-import { LoadBook, UNREACHABLE_LOAD } from "../../src/owner/load_book.ts";
+import { LoadTable, UNREACHABLE_LOAD } from "../../src/owner/load_table.ts";
 import { auditBound } from "../../tools/bound_audit.ts";
 
 /** Load bound guaranteed by the default settings, and the maximum age of a mean; as in the tests with real
@@ -20,7 +20,7 @@
 );
 
 /** Returns how many requests a router may start at a given time on one engine that has become idle. */
-function countStartable(book: LoadBook, now: number): number {
+function countStartable(book: LoadTable, now: number): number {
   const mean = book.getMeans(ENGINES, now).reachable;
   return computeCap({
     boundMultiple: GUARANTEE.multiple,
@@ -33,7 +33,7 @@
 
 test("a mean that is read late and takes effect late keeps engines within the bound", (t) => {
   for (let decidedAt = 0; decidedAt <= 4_000; decidedAt += 50) {
-    const book = LoadBook.create();
+    const book = LoadTable.create();
     if (decidedAt >= REPORT_DELAY_MS) {
       const advertised = ENGINES.map((id): [number, number] => [
         hashText(id),
@@ -62,7 +62,7 @@
 test("a slot below the bound stays free while an engine of the pool is unreachable", (t) => {
   const pool = ["e-0", "e-1", "e-2", "e-3", "e-4", "e-5"];
   for (let load = 0; load <= 60; load++) {
-    const book = LoadBook.create();
+    const book = LoadTable.create();
     book.record(
       pool.map((id, index): [number, number] => [
         hashText(id),
--- a/tests/owner/owner_test.ts
+++ b/tests/owner/owner_test.ts
@@ -9,7 +9,7 @@
 import { AuditTrail } from "../../src/audit/audit_trail.ts";
 import { PauseGuard } from "../../src/clock/pause_guard.ts";
 import type { Host } from "../../src/configuration_service/host_schema.ts";
-import { LoadBook } from "../../src/owner/load_book.ts";
+import { LoadTable } from "../../src/owner/load_table.ts";
 import { Owner } from "../../src/owner/owner.ts";
 import type { Frame, FrameOf } from "../../src/peer/frame_schema.ts";
 import { PlacementTable } from "../../src/placement/placement_table.ts";
@@ -63,7 +63,7 @@
     guard,
     logger,
     audit: AuditTrail.create(10, logger),
-    loads: LoadBook.create(),
+    loads: LoadTable.create(),
     getView: () => view,
     getPlacement: () => PlacementTable.create(view, "dar"),
     onLoadGrew: () => undefined,
--- a/tests/owner/owners_model_test.ts
+++ b/tests/owner/owners_model_test.ts
@@ -4,7 +4,7 @@
  * router that was not the owner (`r-4 starts q51: own 2 foreign 0 not owner avoids r-1`). */
 import test from "ava";
 import { hashText } from "../../src/hashing/hasher.ts";
-import { REPORT_CATCH_UP_MS } from "../../src/owner/foreign_load.ts";
+import { REPORT_CATCH_UP_MS } from "../../src/owner/foreign_load_estimator.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
 import { VirtualChats } from "./virtual_chats.ts";
 import { VirtualOwners } from "./virtual_owners.ts";
--- a/tests/owner/heard_share_test.ts
+++ b/tests/owner/reachable_fraction_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { ReachableShare } from "../../src/owner/heard_share.ts";
+import { ReachableFraction } from "../../src/owner/reachable_fraction.ts";
 import { hasRoom } from "../../src/owner/load_bound.ts";
 
 /** The only upstream of an idle pool, with three slots. */
@@ -13,7 +13,7 @@
 }
 
 test("a router that briefly lost contact with the only other one uses one slot of three for three seconds", (t) => {
-  const share = ReachableShare.create();
+  const share = ReachableFraction.create();
   t.is(countStartable(share.update(1, 0)), 3);
   t.is(countStartable(share.update(0.5, 100)), 1);
   t.is(countStartable(share.update(1, 200)), 1);
--- a/tests/owner/upstream_registry_test.ts
+++ b/tests/owner/upstream_registry_test.ts
@@ -3,7 +3,7 @@
 import { hashText } from "../../src/hashing/hasher.ts";
 import { Job } from "../../src/owner/job.ts";
 import { AuditTrail } from "../../src/audit/audit_trail.ts";
-import { LoadBook } from "../../src/owner/load_book.ts";
+import { LoadTable } from "../../src/owner/load_table.ts";
 import { UpstreamRegistry } from "../../src/owner/upstream_registry.ts";
 import { PlacementTable } from "../../src/placement/placement_table.ts";
 import {
@@ -29,7 +29,7 @@
     settings: buildSettings(),
     logger,
     audit: AuditTrail.create(10, logger),
-    loads: LoadBook.create(),
+    loads: LoadTable.create(),
     getView: () => view,
     getPlacement: () => PlacementTable.create(view, "dar"),
     requestReport: () => undefined,
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -3,7 +3,7 @@
 import { AuditTrail } from "../../src/audit/audit_trail.ts";
 import type { Job } from "../../src/owner/job.ts";
 import { JobScheduler } from "../../src/owner/job_scheduler.ts";
-import { LoadBook } from "../../src/owner/load_book.ts";
+import { LoadTable } from "../../src/owner/load_table.ts";
 import type { OwnedUpstream } from "../../src/owner/owned_upstream.ts";
 import { UpstreamRegistry } from "../../src/owner/upstream_registry.ts";
 import { PlacementTable } from "../../src/placement/placement_table.ts";
@@ -182,7 +182,7 @@
   }
 
   private createOwner(router: VirtualRouter): void {
-    router.loads = LoadBook.create();
+    router.loads = LoadTable.create();
     router.registry = UpstreamRegistry.create({
       settings: router.settings,
       logger: SILENT_LOGGER,
--- a/tests/owner/virtual_router.ts
+++ b/tests/owner/virtual_router.ts
@@ -1,6 +1,6 @@
 import type { FleetView } from "../../src/membership/fleet_view.ts";
 import type { JobScheduler } from "../../src/owner/job_scheduler.ts";
-import type { LoadBook } from "../../src/owner/load_book.ts";
+import type { LoadTable } from "../../src/owner/load_table.ts";
 import type { UpstreamRegistry } from "../../src/owner/upstream_registry.ts";
 import type { PlacementTable } from "../../src/placement/placement_table.ts";
 import type { Settings } from "../../src/settings/settings_schema.ts";
@@ -11,7 +11,7 @@
   settings: Settings;
   scheduler: JobScheduler;
   registry: UpstreamRegistry;
-  loads: LoadBook;
+  loads: LoadTable;
   /** Ids of the routers that it can reach, including itself. */
   heard: Set<string>;
   unavailable: Set<string>;
