--- a/src/crashes/crash_record.ts
+++ b/src/crashes/crash_record.ts
@@ -45,7 +45,7 @@
     );
   }
 
-  /** Whether the points meet the threshold for a hold; the hold itself may be over. */
+  /** Whether the points meet the threshold for a hold, as the crashes are more than chance; the hold may be over. */
   get meetsHoldThreshold(): boolean {
     return this.points >= HOLD_THRESHOLD_POINTS;
   }
