--- a/fakes/answer_text.ts
+++ b/fakes/answer_text.ts
@@ -1,22 +1,22 @@
 import { hashText } from "../src/hashing/hasher.ts";
 
-/** The piece of text that an engine gives at one place of an answer; any engine gives the same, so that an answer
- * can be compared byte by byte whichever engines made it.
+/** Text of one chunk of an answer. It depends only on the prompt and the index, so an answer can be compared byte by
+ * byte whichever engines produced it.
  * @param prompt Last message of the request.
- * @param index Place in the answer. */
-export function getPiece(prompt: string, index: number): string {
+ * @param index Position of the chunk in the answer. */
+export function getChunk(prompt: string, index: number): string {
   return `${hashText(prompt, index).toString(36)} `;
 }
 
-/** The whole text of an answer.
+/** Full text of an answer.
  * @param prompt Last message of the request.
- * @param count Pieces of the answer. */
+ * @param count Number of chunks in the answer. */
 export function getWholeText(prompt: string, count: number): string {
-  return Array.from({ length: count }, (_, index) => getPiece(prompt, index))
+  return Array.from({ length: count }, (_, index) => getChunk(prompt, index))
     .join("");
 }
 
-/** Tokens of a text, as the stand-ins count them.
+/** Number of tokens in a text, as the fakes count them: one per four characters, rounded up.
  * @param text The text. */
 export function countTokens(text: string): number {
   return Math.ceil(text.length / 4);
--- a/fakes/engine_slots.ts
+++ b/fakes/engine_slots.ts
@@ -1,21 +1,21 @@
-/** Places in which a stand-in engine computes; those beyond wait, the more urgent first. */
+/** Concurrency slots of a fake engine: a semaphore whose waiters are admitted by priority. */
 export class EngineSlots {
   private readonly waiting: { priority: number; start: () => void }[] = [];
-  private taken = 0;
+  private used = 0;
 
   private constructor(private readonly count: number) {}
 
-  /** Creates free places.
-   * @param count How many. */
+  /** Creates slots, all of them free.
+   * @param count Number of slots. */
   static create(count: number): EngineSlots {
     return new EngineSlots(count);
   }
 
-  /** Takes a place, as soon as there is one.
-   * @param priority A greater one goes first. */
-  async take(priority: number): Promise<void> {
-    if (this.taken < this.count) {
-      this.taken += 1;
+  /** Acquires a slot, waiting until one is free.
+   * @param priority Waiters with a greater value are admitted first. */
+  async acquire(priority: number): Promise<void> {
+    if (this.used < this.count) {
+      this.used += 1;
       return;
     }
     await new Promise<void>((start) => {
@@ -24,10 +24,10 @@
     });
   }
 
-  /** Gives a place back, to the next that waits. */
+  /** Releases a slot, handing it to the next waiter if there is one. */
   release(): void {
     const next = this.waiting.shift();
     if (next) next.start();
-    else this.taken -= 1;
+    else this.used -= 1;
   }
 }
--- a/fakes/engine_stream.ts
+++ b/fakes/engine_stream.ts
@@ -1,17 +1,17 @@
 import type { ServerResponse } from "node:http";
 import type { LedgerRun } from "./ledger.ts";
 
-/** One answer that a stand-in engine makes. */
+/** One answer that a fake engine is generating. */
 export interface EngineStream {
   run: LedgerRun;
   prompt: string;
   priority: number;
-  /** Pieces that exist. */
-  made: number;
+  /** Chunks generated so far. */
+  produced: number;
   total: number;
   reader: ServerResponse | undefined;
   nextIndex: number;
-  /** The sending that reads the stream now. */
+  /** Id of the attempt that reads the stream now. */
   attempt: string;
   abandonedAt: number | undefined;
 }
--- a/fakes/engine_timing.ts
+++ b/fakes/engine_timing.ts
@@ -1,44 +1,46 @@
-/** Time of one step of an engine in milliseconds, and what each request held adds to it. */
-const STEP_MS = 3.23;
+/** Duration of one decoding step in milliseconds, and the part that each request in flight adds to it. */
+const BASE_STEP_MS = 3.23;
 const STEP_MS_PER_REQUEST = 0.0483;
-/** Steps in one event of an answer. */
+/** Decoding steps per event of an answer. */
 const STEPS_PER_EVENT = 7;
-/** Time to the first event beside the reading of the prompt, in milliseconds. */
-const FIRST_EVENT_MS = 47;
-/** Tokens of a prompt that are read in a millisecond. */
-const TOKENS_PER_MS = 112;
+/** Time to the first event in addition to the prefill of the prompt, in milliseconds. */
+const FIRST_EVENT_OVERHEAD_MS = 47;
+/** Prompt tokens prefilled per millisecond. */
+const PREFILL_TOKENS_PER_MS = 112;
 
-/** How long a batching engine takes for requests; it keeps each prompt that it has read. */
+/** Timing model of a batching engine that caches every prompt it has prefilled. */
 export class EngineTiming {
-  /** Tokens of shared prompts that it had to read. */
+  /** Tokens of shared prompts prefilled so far, cache hits excluded. */
   readTokens = 0;
-  private readonly kept = new Set<number>();
-  private readyAt = 0;
+  private readonly cachedPrompts = new Set<number>();
+  private prefillEndsAt = 0;
 
   private constructor() {}
 
-  /** Creates the timing of an engine that keeps nothing. */
+  /** Creates the timing model of an engine with an empty cache. */
   static create(): EngineTiming {
     return new EngineTiming();
   }
 
-  /** Reads a prompt, unless it is kept; returns the time to the first event in milliseconds.
+  /** Prefills a prompt unless it is cached. Returns the time to the first event in milliseconds.
    * @param prompt Number of the prompt.
-   * @param tokens Its tokens.
+   * @param tokens Length of the prompt in tokens.
    * @param now Monotonic milliseconds. */
   read(prompt: number, tokens: number, now: number): number {
-    if (!this.kept.has(prompt)) {
-      this.kept.add(prompt);
+    if (!this.cachedPrompts.has(prompt)) {
+      this.cachedPrompts.add(prompt);
       this.readTokens += tokens;
-      this.readyAt = Math.max(now, this.readyAt) + tokens / TOKENS_PER_MS;
+      this.prefillEndsAt = Math.max(now, this.prefillEndsAt) +
+        tokens / PREFILL_TOKENS_PER_MS;
     }
-    return FIRST_EVENT_MS + Math.max(0, this.readyAt - now);
+    return FIRST_EVENT_OVERHEAD_MS + Math.max(0, this.prefillEndsAt - now);
   }
 
-  /** Time of some events in milliseconds.
-   * @param events The events.
-   * @param held Requests that the engine holds. */
+  /** Time to decode a number of events, in milliseconds.
+   * @param events Number of events.
+   * @param held Requests in flight on the engine. */
   getEventsMs(events: number, held: number): number {
-    return events * STEPS_PER_EVENT * (STEP_MS + STEP_MS_PER_REQUEST * held);
+    return events * STEPS_PER_EVENT *
+      (BASE_STEP_MS + STEP_MS_PER_REQUEST * held);
   }
 }
--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { setTimeout as delay } from "node:timers/promises";
-import { countTokens, getPiece } from "./answer_text.ts";
+import { countTokens, getChunk } from "./answer_text.ts";
 import {
   DEFAULT_ENGINE_OPTIONS,
   type FakeEngineOptions,
@@ -10,30 +10,34 @@
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 import { Ledger, type LedgerRun } from "./ledger.ts";
 import { PrefixCache } from "./prefix_cache.ts";
-import { sayWord, type UpstreamWord } from "./upstream_word.ts";
+import {
+  applyAvailability,
+  type UpstreamAvailability,
+} from "./upstream_availability.ts";
 
-/** A fault that an engine shows on request. */
+/** A fault that an engine injects into its answers. */
 export type EngineFault = "none" | "crossed" | "truncated" | "silent";
 
-/** Time an engine keeps an answer whose reader is gone. */
-const HOLD_MS = 3_000;
-const DEFAULT_COMPLETION = 20;
+/** Time for which an engine keeps an answer after its reader has disconnected, in milliseconds. */
+const ABANDONED_STREAM_TTL_MS = 3_000;
+const DEFAULT_COMPLETION_TOKENS = 20;
 
-/** A stand-in for a model engine: batches, caches prefixes, streams, resumes, cancels, reports late, keeps a ledger. */
-export class FakeEngine implements UpstreamWord {
+/** A fake model engine: it batches, caches prefixes, streams, resumes and cancels requests, reports its load with a
+ * lag, and records its runs in a ledger. */
+export class FakeEngine implements UpstreamAvailability {
   readonly ledger = Ledger.create();
   readonly cache: PrefixCache;
   fault: EngineFault = "none";
   leaving = false;
   backoffSeconds: number | undefined;
   saysLeaving = false;
-  /** Requests of all kinds that it got. */
+  /** Number of HTTP requests received, on any path. */
   requests = 0;
-  /** Text of a request that crashes the engine as it begins; "" where none does. */
+  /** Text that crashes the engine when a chat request with it in its body arrives; "" disables this. */
   crashingText = "";
-  /** Whether it has crashed. */
+  /** Whether a request has crashed the engine. */
   hasCrashed = false;
-  /** Factor on all service times; above 1 is slower. */
+  /** Factor applied to all service times; values above 1 slow the engine down. */
   slowness = 1;
   private readonly streams = new Map<string, EngineStream>();
   private readonly slots: EngineSlots;
@@ -49,7 +53,7 @@
   }
 
   /** Starts an engine.
-   * @param options How it behaves, where it differs from the defaults. */
+   * @param options Options that differ from the defaults. */
   static async create(
     options: Partial<FakeEngineOptions> = {},
   ): Promise<FakeEngine> {
@@ -67,20 +71,20 @@
     return this.listeningPort;
   }
 
-  /** Requests in flight. */
+  /** Number of requests in flight. */
   get inFlight(): number {
     return this.streams.size;
   }
 
-  /** Pieces made for the requests in flight. */
+  /** Total number of chunks generated for the requests in flight. */
   get piecesInFlight(): number {
     return [...this.streams.values()].reduce(
-      (sum, stream) => sum + stream.made,
+      (sum, stream) => sum + stream.produced,
       0,
     );
   }
 
-  /** Ends the engine; streams under way break off. */
+  /** Stops the engine; streams in progress are cut off. */
   async close(): Promise<void> {
     for (const id of [...this.streams.keys()]) this.end(id);
     if (this.server) await closeHttp(this.server);
@@ -93,48 +97,49 @@
   ): Promise<void> | void {
     const path = request.url ?? "";
     this.requests += 1;
-    if (sayWord(response, this)) return;
-    if (path === "/v1/chat/completions" && this.isCrashing(body)) {
+    if (applyAvailability(response, this)) return;
+    if (path === "/v1/chat/completions" && this.triggersCrash(body)) {
       this.hasCrashed = true;
       return this.close();
     }
     if (path === "/v1/chat/completions") {
       return this.chat(request, response, body);
     }
-    if (path === "/report") return this.report(response);
-    if (path === "/orders") return this.order(response, JSON.parse(body));
+    if (path === "/report") return this.sendReport(response);
+    if (path === "/orders") return this.applyOrder(response, JSON.parse(body));
     if (path === "/v1/cache") return reply(response, this.cache.getEntries());
-    const cancelled = /^\/v1\/requests\/([^/]+)\/cancel$/.exec(path)?.[1];
-    if (!cancelled) return reply(response, {}, 404);
-    const id = decodeURIComponent(cancelled);
+    const cancelledId = /^\/v1\/requests\/([^/]+)\/cancel$/.exec(path)?.[1];
+    if (!cancelledId) return reply(response, {}, 404);
+    const id = decodeURIComponent(cancelledId);
     if (this.streams.get(id)?.attempt === request.headers["x-attempt"]) {
       this.end(id);
     }
     reply(response, {});
   }
 
-  private isCrashing(body: string): boolean {
+  private triggersCrash(body: string): boolean {
     return this.crashingText !== "" && body.includes(this.crashingText);
   }
 
-  private report(response: ServerResponse): void {
+  private sendReport(response: ServerResponse): void {
     const asOf = Date.now() - this.options.reportLagMs;
-    const lagged = this.ledger.loads.findLast(([at]) => at <= asOf)?.[1] ?? 0;
+    const laggedInFlight =
+      this.ledger.loads.findLast(([at]) => at <= asOf)?.[1] ?? 0;
     reply(response, {
-      inFlight: lagged,
+      inFlight: laggedInFlight,
       leaving: this.leaving,
       fence: this.fence,
       models: this.models,
     });
   }
 
-  private order(
+  private applyOrder(
     response: ServerResponse,
     order: { fence: number; models: string[] },
   ): void {
-    const taken = !this.options.checksFence || order.fence >= this.fence;
-    this.ledger.orders.push({ ...order, taken });
-    if (!taken) return reply(response, { fence: this.fence }, 409);
+    const isAccepted = !this.options.checksFence || order.fence >= this.fence;
+    this.ledger.orders.push({ ...order, isAccepted });
+    if (!isAccepted) return reply(response, { fence: this.fence }, 409);
     this.fence = order.fence;
     this.models = order.models;
     reply(response, {});
@@ -151,16 +156,17 @@
       response.setHeader("x-not-run", "true");
       return reply(response, { error: "leaving" }, 503);
     }
-    const known = this.streams.get(requestId);
+    const existingStream = this.streams.get(requestId);
     const resumeFrom = Number(request.headers["x-resume-from"] ?? 0);
     if (this.fault === "silent") return;
-    const stream = known ?? this.open(requestId, request, body, resumeFrom);
+    const stream = existingStream ??
+      this.createStream(requestId, request, body, resumeFrom);
     stream.attempt = String(request.headers["x-attempt"] ?? "");
-    this.attach(stream, response, requestId, resumeFrom);
-    if (!known) await this.compute(stream, requestId);
+    this.attachReader(stream, response, requestId, resumeFrom);
+    if (!existingStream) await this.generate(stream, requestId);
   }
 
-  private open(
+  private createStream(
     requestId: string,
     request: IncomingMessage,
     body: string,
@@ -171,7 +177,7 @@
       max_tokens?: number;
     };
     const chatId = String(request.headers["x-chat"] ?? requestId);
-    const total = chat.max_tokens ?? DEFAULT_COMPLETION;
+    const total = chat.max_tokens ?? DEFAULT_COMPLETION_TOKENS;
     const promptTokens = countTokens(
       chat.messages.map((message) => message.content).join(""),
     );
@@ -193,7 +199,7 @@
       run,
       prompt: chat.messages.at(-1)?.content ?? "",
       priority: Number(request.headers["x-priority"] ?? 0),
-      made: resumeFrom,
+      produced: resumeFrom,
       total,
       reader: undefined,
       nextIndex: resumeFrom,
@@ -205,8 +211,8 @@
     return stream;
   }
 
-  /** Gives the stream to a reader; an older reader loses it. */
-  private attach(
+  /** Attaches a reader to the stream, and disconnects the previous reader if there is one. */
+  private attachReader(
     stream: EngineStream,
     response: ServerResponse,
     requestId: string,
@@ -228,24 +234,24 @@
     this.flush(stream, requestId);
   }
 
-  private async compute(
+  private async generate(
     stream: EngineStream,
     requestId: string,
   ): Promise<void> {
-    await this.slots.take(stream.priority);
+    await this.slots.acquire(stream.priority);
     const { prefillMsPerThousand, tokenMs, batchSlowdown } = this.options;
     const uncached = stream.run.promptTokens - stream.run.cachedTokens;
     await delay(this.slowness * uncached * prefillMsPerThousand / 1000);
     this.cache.put(stream.run.chat, stream.run.promptTokens + stream.total);
-    while (stream.made < stream.total && this.isWanted(stream, requestId)) {
+    while (stream.produced < stream.total && this.isActive(stream, requestId)) {
       await delay(
         this.slowness * tokenMs * (1 + batchSlowdown * this.streams.size),
       );
-      stream.made += 1;
+      stream.produced += 1;
       this.flush(stream, requestId);
     }
     this.slots.release();
-    if (stream.made < stream.total) return;
+    if (stream.produced < stream.total) return;
     await this.waitForReader(stream, requestId);
     this.end(requestId);
   }
@@ -255,24 +261,27 @@
     requestId: string,
   ): Promise<void> {
     while (
-      stream.nextIndex <= stream.total && this.isWanted(stream, requestId)
+      stream.nextIndex <= stream.total && this.isActive(stream, requestId)
     ) await delay(20);
   }
 
-  private isWanted(stream: EngineStream, requestId: string): boolean {
+  private isActive(stream: EngineStream, requestId: string): boolean {
     if (this.streams.get(requestId) !== stream) return false;
     return stream.abandonedAt === undefined ||
-      Date.now() - stream.abandonedAt < HOLD_MS;
+      Date.now() - stream.abandonedAt < ABANDONED_STREAM_TTL_MS;
   }
 
-  /** Sends the pieces that exist and were not sent; after the last one, the usage and the end marker. */
+  /** Sends the generated chunks that were not sent yet; after the last one, the usage and the end marker. */
   private flush(stream: EngineStream, requestId: string): void {
     const { reader } = stream;
     if (!reader) return;
-    while (stream.nextIndex < stream.made) {
+    while (stream.nextIndex < stream.produced) {
       const index = stream.nextIndex++;
-      const choices = [{ delta: { content: getPiece(stream.prompt, index) } }];
-      this.write(reader, this.corrupt({ id: requestId, index, choices }));
+      const choices = [{ delta: { content: getChunk(stream.prompt, index) } }];
+      this.writeEvent(
+        reader,
+        this.applyCrossedFault({ id: requestId, index, choices }),
+      );
       if (
         this.fault === "truncated" && index === Math.floor(stream.total / 2)
       ) {
@@ -281,18 +290,24 @@
         return;
       }
     }
-    if (stream.made < stream.total || stream.nextIndex > stream.total) return;
+    if (stream.produced < stream.total || stream.nextIndex > stream.total) {
+      return;
+    }
     const { promptTokens, cachedTokens } = stream.run;
     const usage = {
       prompt_tokens: promptTokens,
       cached_tokens: cachedTokens,
       completion_tokens: stream.total,
     };
-    this.write(reader, { id: requestId, index: stream.nextIndex++, usage });
+    this.writeEvent(reader, {
+      id: requestId,
+      index: stream.nextIndex++,
+      usage,
+    });
     reader.end("data: [DONE]\n\n");
   }
 
-  private corrupt(
+  private applyCrossedFault(
     event: { id: string; index: number; choices: unknown },
   ): object {
     if (this.fault !== "crossed") return event;
@@ -304,7 +319,7 @@
     };
   }
 
-  private write(reader: ServerResponse, event: object): void {
+  private writeEvent(reader: ServerResponse, event: object): void {
     reader.write(`data: ${JSON.stringify(event)}\n\n`);
   }
 
--- a/fakes/fake_engine_options.ts
+++ b/fakes/fake_engine_options.ts
@@ -1,26 +1,26 @@
-/** How a stand-in engine behaves. */
+/** Options of a fake engine. */
 export interface FakeEngineOptions {
   id: string;
   models: string[];
-  /** Tokens the prefix cache holds. */
+  /** Capacity of the prefix cache in tokens. */
   cacheTokens: number;
-  /** Time to read a thousand uncached prompt tokens. */
+  /** Time to prefill a thousand uncached prompt tokens, in milliseconds. */
   prefillMsPerThousand: number;
-  /** Time for one token of the answer when the engine is alone. */
+  /** Time per token of an answer, in milliseconds, before the slowdown by the requests in flight. */
   tokenMs: number;
-  /** Part by which each further request in flight slows the others. */
+  /** Fraction that each request in flight adds to the time per token of all of them. */
   batchSlowdown: number;
-  /** Requests computed at once; those beyond wait, the more urgent first. */
+  /** Requests computed concurrently; further ones wait, those with the higher priority first. */
   slots: number;
-  /** Lag of the load report. */
+  /** Age of the load in load reports, in milliseconds. */
   reportLagMs: number;
-  /** Whether orders with an older fence are refused. */
+  /** Whether orders with an older fencing token are rejected. */
   checksFence: boolean;
-  /** Port to listen on; 0 takes any free one. */
+  /** Port to listen on; 0 selects any free port. */
   port: number;
 }
 
-/** How an engine behaves where nothing else is said. */
+/** Default options of an engine. */
 export const DEFAULT_ENGINE_OPTIONS: FakeEngineOptions = {
   id: "engine",
   models: ["m1"],
--- a/fakes/fake_platform.ts
+++ b/fakes/fake_platform.ts
@@ -2,7 +2,8 @@
 import type { Host } from "../src/configuration_service/host_schema.ts";
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 
-/** How the stand-in platform behaves now. */
+/** Mode of a fake platform: `up` serves what is published, `down` closes connections without an answer, `stale`
+ * serves the pinned documents. */
 export type PlatformMode = "up" | "down" | "stale";
 
 interface PublishedValue {
@@ -16,12 +17,12 @@
   answer: () => void;
 }
 
-/** A stand-in for the platform: documents with revisions and a list of hosts, to be read and watched only. */
+/** A fake platform that serves documents with revisions and a list of hosts, for reading and long polling only. */
 export class FakePlatform {
   mode: PlatformMode = "up";
-  /** Calls answered so far. */
+  /** Number of calls to known paths received so far. */
   calls = 0;
-  /** Changes one reader's list, so that readers disagree or reach each other through proxies. */
+  /** Maps the list of hosts for one reader, so that readers see different lists or reach each other through proxies. */
   viewFor: (reader: string, hosts: Host[]) => Host[] = (_reader, hosts) =>
     hosts;
   private values = new Map<string, PublishedValue>();
@@ -36,7 +37,7 @@
   private constructor() {}
 
   /** Starts a platform.
-   * @param port Port to listen on, any free one by default. */
+   * @param port Port to listen on; any free port by default. */
   static async create(port = 0): Promise<FakePlatform> {
     const platform = new FakePlatform();
     const listening = await listenHttp(
@@ -56,13 +57,13 @@
     return `http://127.0.0.1:${this.listeningPort}`;
   }
 
-  /** Publishes a document; returns its revision.
-   * @param key Its key.
-   * @param value Its content. */
+  /** Publishes a document. Returns its revision.
+   * @param key Key of the document.
+   * @param value Content of the document. */
   publish(key: string, value: unknown): number {
     this.revision += 1;
     this.values.set(key, { key, revision: this.revision, value });
-    this.wake();
+    this.answerReadyWaiters();
     return this.revision;
   }
 
@@ -71,22 +72,22 @@
   publishHosts(hosts: Host[]): void {
     this.version += 1;
     this.hosts = hosts;
-    this.wake();
+    this.answerReadyWaiters();
   }
 
-  /** Serves what is published now, and nothing later, whenever the mode is `stale`. */
+  /** Pins the documents published so far as those served in the `stale` mode. */
   freezeStale(): void {
     this.staleValues = new Map(this.values);
   }
 
-  /** Changes the mode; calls that wait are answered.
+  /** Changes the mode. Pending long polls are answered unless the new mode is `up` and there is nothing new.
    * @param mode The new mode. */
   setMode(mode: PlatformMode): void {
     this.mode = mode;
-    this.wake();
+    this.answerReadyWaiters();
   }
 
-  /** Ends the platform. */
+  /** Stops the platform. */
   async close(): Promise<void> {
     if (this.server) await closeHttp(this.server);
   }
@@ -95,8 +96,8 @@
     const url = new URL(request.url ?? "/", "http://platform");
     const number = (name: string) => Number(url.searchParams.get(name) ?? 0);
     if (url.pathname === "/v1/documents") {
-      const isReady = () => this.isChanged(number("after"));
-      return this.hold(
+      const isReady = () => this.hasNewerDocuments(number("after"));
+      return this.longPoll(
         response,
         number("wait"),
         isReady,
@@ -106,7 +107,7 @@
     if (url.pathname === "/v1/hosts") {
       const reader = url.searchParams.get("reader") ?? "";
       const isReady = () => this.version !== number("version");
-      return this.hold(
+      return this.longPoll(
         response,
         number("wait"),
         isReady,
@@ -116,11 +117,11 @@
     reply(response, {}, 404);
   }
 
-  private isChanged(after: number): boolean {
+  private hasNewerDocuments(after: number): boolean {
     return this.mode === "up" && this.revision > after;
   }
 
-  private hold(
+  private longPoll(
     response: ServerResponse,
     waitMs: number,
     isReady: () => boolean,
@@ -162,7 +163,7 @@
     });
   }
 
-  private wake(): void {
+  private answerReadyWaiters(): void {
     const ready = this.waiters.filter((waiter) =>
       waiter.isReady() || this.mode !== "up"
     );
--- a/fakes/fake_service.ts
+++ b/fakes/fake_service.ts
@@ -2,22 +2,25 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 import { Ledger } from "./ledger.ts";
-import { sayWord, type UpstreamWord } from "./upstream_word.ts";
+import {
+  applyAvailability,
+  type UpstreamAvailability,
+} from "./upstream_availability.ts";
 
-/** How a stand-in service behaves. */
+/** Options of a fake service. */
 export interface FakeServiceOptions {
   id: string;
-  /** Time one call takes. */
+  /** Duration of one call in milliseconds. */
   callMs: number;
-  /** Port to listen on; 0 takes any free one. */
+  /** Port to listen on; 0 selects any free port. */
   port: number;
 }
 
-/** A fault that a service shows on request. */
+/** A fault that a service injects into its answers. */
 export type ServiceFault = "none" | "crossed" | "silent";
 
-/** A stand-in for a plain service, such as one that takes bookings; keeps a ledger of every run. */
-export class FakeService implements UpstreamWord {
+/** A fake plain service, such as one that takes bookings, with a ledger of every run. */
+export class FakeService implements UpstreamAvailability {
   readonly ledger = Ledger.create();
   fault: ServiceFault = "none";
   leaving = false;
@@ -30,7 +33,7 @@
   private constructor(readonly options: FakeServiceOptions) {}
 
   /** Starts a service.
-   * @param options How it behaves, where it differs from the defaults. */
+   * @param options Options that differ from the defaults. */
   static async create(
     options: Partial<FakeServiceOptions> = {},
   ): Promise<FakeService> {
@@ -53,7 +56,7 @@
     return this.listeningPort;
   }
 
-  /** Ends the service; calls under way break off. */
+  /** Stops the service; calls in progress are cut off. */
   async close(): Promise<void> {
     if (this.server) await closeHttp(this.server);
   }
@@ -63,7 +66,7 @@
     response: ServerResponse,
     body: string,
   ): Promise<void> {
-    if (sayWord(response, this)) return;
+    if (applyAvailability(response, this)) return;
     if (request.url === "/report") {
       return reply(response, {
         inFlight: this.inFlight,
--- a/fakes/fake_store.ts
+++ b/fakes/fake_store.ts
@@ -1,7 +1,8 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 
-/** How a store answers: well, each call with 503, watches with 410, or not at all. */
+/** Behaviour of a fake store: answers normally, answers each call with 503, answers watches with 410, or does not
+ * answer at all. */
 export type StoreBehaviour = "well" | "unavailable" | "history_lost" | "silent";
 
 interface Item {
@@ -12,30 +13,29 @@
   deleted?: boolean;
 }
 
-interface Waiting {
+interface PendingWatch {
   after: number;
   answer: () => void;
 }
 
-/** A store's items at one moment, from which it can be restored. */
-export interface StoreCopy {
+/** Snapshot of a store's items, from which it can be restored. */
+export interface StoreSnapshot {
   revision: number;
   items: ReadonlyMap<string, Item>;
 }
 
-/** A small stand-in of the platform's metadata store: items with revisions, ranges, long polls and its troubles. */
+/** A fake metadata store of the platform: items with revisions, range reads, long polls and injected failures. */
 export class FakeStore {
-  /** How it answers. */
   behaviour: StoreBehaviour = "well";
-  /** Calls it got. */
+  /** Number of calls received. */
   calls = 0;
-  /** Reads of whole lists among them. */
+  /** Number of range reads among the calls. */
   snapshotReads = 0;
-  /** Times that it was restored; told in all answers. Undefined where it tells none. */
+  /** Era sent in all answers, incremented by each restore; undefined if no era is sent. */
   era: number | undefined = 1;
   private revision = 0;
   private items = new Map<string, Item>();
-  private readonly waiting = new Set<Waiting>();
+  private readonly waiting = new Set<PendingWatch>();
 
   private constructor(
     private readonly server: Server,
@@ -45,7 +45,7 @@
   ) {}
 
   /** Starts a store.
-   * @param pageSize Items in one page of a range. */
+   * @param pageSize Items per page of a range read. */
   static async create(pageSize = 500): Promise<FakeStore> {
     const { server, port } = await listenHttp((request, response) =>
       store.handle(request, response)
@@ -55,15 +55,15 @@
   }
 
   /** Writes a value.
-   * @param key Its key.
-   * @param value Any value; it is kept as JSON. */
+   * @param key Key of the item.
+   * @param value Any value; it is stored as JSON. */
   put(key: string, value: unknown): void {
     this.putText(key, JSON.stringify(value));
   }
 
-  /** Writes a value as it is.
-   * @param key Its key.
-   * @param text The value's text. */
+  /** Writes a value without encoding it as JSON.
+   * @param key Key of the item.
+   * @param text Text of the value. */
   putText(key: string, text: string): void {
     this.revision += 1;
     const created = this.items.get(key)?.created ?? this.revision;
@@ -73,63 +73,64 @@
       revision: this.revision,
       created,
     });
-    this.wake();
+    this.answerPendingWatches();
   }
 
-  /** Deletes a value.
-   * @param key Its key. */
+  /** Deletes a value. The store keeps a tombstone, so that watches see the deletion.
+   * @param key Key of the item. */
   remove(key: string): void {
     this.revision += 1;
     const created = this.items.get(key)?.created ?? 0;
     const { revision } = this;
     this.items.set(key, { private_key: key, revision, created, deleted: true });
-    this.wake();
+    this.answerPendingWatches();
   }
 
-  /** Copies everything that it holds. */
-  copy(): StoreCopy {
+  /** Takes a snapshot of all items. */
+  copy(): StoreSnapshot {
     return { revision: this.revision, items: new Map(this.items) };
   }
 
-  /** Comes back from a copy: what was written since is lost, and its revisions are given out again.
-   * @param copy The copy. */
-  restore(copy: StoreCopy): void {
-    this.revision = copy.revision;
-    this.items = new Map(copy.items);
+  /** Restores the store from a snapshot: later writes are lost, and their revisions are assigned again.
+   * @param snapshot The snapshot. */
+  restore(snapshot: StoreSnapshot): void {
+    this.revision = snapshot.revision;
+    this.items = new Map(snapshot.items);
     this.era = (this.era ?? 0) + 1;
-    this.wake();
+    this.answerPendingWatches();
   }
 
-  /** Writes again what was lost, as its writers do, but for what they have changed since.
-   * @param lost Everything that it held before it was restored.
-   * @param copy What it was restored from. */
-  rewriteLost(lost: StoreCopy, copy: StoreCopy): void {
+  /** Writes the lost items again, as their writers do, except those changed since the restore.
+   * @param lost Snapshot taken before the restore.
+   * @param snapshot Snapshot that the store was restored from. */
+  rewriteLost(lost: StoreSnapshot, snapshot: StoreSnapshot): void {
     for (const [key, { value, deleted }] of lost.items) {
       const current = this.items.get(key);
-      const isChanged = (current?.revision ?? 0) > copy.revision;
-      if (isChanged || current?.value === value) continue;
+      const isChangedSinceRestore =
+        (current?.revision ?? 0) > snapshot.revision;
+      if (isChangedSinceRestore || current?.value === value) continue;
       if (deleted || value === undefined) this.remove(key);
       else this.putText(key, Buffer.from(value, "base64").toString());
     }
   }
 
-  /** Ends the store. */
+  /** Stops the store. */
   async close(): Promise<void> {
     await closeHttp(this.server);
   }
 
-  private tellEra(response: ServerResponse): void {
+  private writeEraHeader(response: ServerResponse): void {
     if (this.era === undefined) return;
     response.setHeader("Store-Era", String(this.era));
   }
 
-  private wake(): void {
+  private answerPendingWatches(): void {
     for (const waiting of [...this.waiting]) waiting.answer();
   }
 
   private handle(request: IncomingMessage, response: ServerResponse): void {
     this.calls += 1;
-    this.tellEra(response);
+    this.writeEraHeader(response);
     const url = new URL(request.url ?? "/", "http://store");
     if (this.behaviour === "silent") return;
     if (this.behaviour === "unavailable") return reply(response, {}, 503);
@@ -176,7 +177,7 @@
     const answer = () => {
       clearTimeout(timer);
       this.waiting.delete(waiting);
-      this.tellEra(response);
+      this.writeEraHeader(response);
       if (after > this.revision) return reply(response, {}, 410);
       reply(response, { events: findEvents(), timestamp: this.revision });
     };
--- a/fakes/fake_worker.ts
+++ b/fakes/fake_worker.ts
@@ -1,14 +1,14 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { closeHttp, listenHttp } from "./http_fake.ts";
 
-/** What a worker does with a request beside answering it well. */
+/** Handles the requests of a fake worker. */
 export type WorkerBehaviour = (
   request: IncomingMessage,
   response: ServerResponse,
   worker: FakeWorker,
 ) => void;
 
-/** One request as a worker got it. */
+/** One request as a worker received it. */
 export interface WorkerArrival {
   method: string;
   path: string;
@@ -16,15 +16,15 @@
   body: string;
 }
 
-/** A small stand-in of a worker that speaks the platform's headers. */
+/** A fake worker that uses the platform's headers. */
 export class FakeWorker {
-  /** The requests that were run, in their order. */
+  /** Requests received, in order of arrival, without those addressed to another instance. */
   readonly arrivals: WorkerArrival[] = [];
-  /** What it does with requests. */
+  /** Handler of the requests. */
   behaviour: WorkerBehaviour = answerWell;
-  /** Unix milliseconds of its start, as it tells them. */
+  /** Start time that the worker reports, in Unix milliseconds. */
   startedAt = Date.now();
-  /** Whether it has crashed. */
+  /** Whether `crash` was called. */
   hasCrashed = false;
 
   private constructor(
@@ -45,7 +45,7 @@
     return worker;
   }
 
-  /** Headers of an answer that counts as whole.
+  /** Headers that seal an answer: the attempt id and the response seal, without which an answer does not count.
    * @param request The request that is answered. */
   prove(request: IncomingMessage): Record<string, string> {
     return {
@@ -56,14 +56,14 @@
     };
   }
 
-  /** Ends as a process does that crashes: all connections close and no new one is taken. */
+  /** Simulates a crash of the process: all connections close and new ones are refused. */
   crash(): void {
     if (this.hasCrashed) return;
     this.hasCrashed = true;
     void closeHttp(this.server);
   }
 
-  /** Ends the worker. */
+  /** Stops the worker. */
   async close(): Promise<void> {
     await closeHttp(this.server);
   }
@@ -88,14 +88,14 @@
   }
 }
 
-/** Answers with the worker's id and the proof. */
+/** Answers with the worker's id and the headers that seal the answer. */
 export const answerWell: WorkerBehaviour = (request, response, worker) => {
   response.writeHead(200, worker.prove(request));
   response.end(worker.id);
 };
 
-/** Turns each request away as not run.
- * @param headers What it says besides. */
+/** Builds a behaviour that declines each request as not executed.
+ * @param headers Further headers of the answers. */
 export function turnAway(
   headers: Record<string, string> = {},
 ): WorkerBehaviour {
--- a/fakes/fault_proxy.ts
+++ b/fakes/fault_proxy.ts
@@ -8,38 +8,39 @@
 } from "node:net";
 import { resetSocket } from "./reset_socket.ts";
 
-/** What a proxy does with what passes. */
+/** What a proxy does with traffic. */
 export type ProxyMode =
   | "pass"
-  /** Old connections end, and new ones end at once. */
+  /** Closes open connections, and new ones as soon as they are accepted. */
   | "cut"
-  /** As `cut`, by resets. */
+  /** As `cut`, but with TCP resets. */
   | "reset"
-  /** Nothing passes, and nobody is told. */
+  /** Forwards nothing, while connections stay open. */
   | "freeze"
-  /** Nothing passes towards the server. */
+  /** Forwards nothing to the server. */
   | "freeze_requests"
-  /** Nothing passes towards the client. */
+  /** Forwards nothing to the client. */
   | "freeze_answers";
 
+/** A client's connection and the proxy's own connection to the server. */
 interface Link {
   client: Socket;
   server: Socket;
 }
 
-/** How connections end. */
+/** How connections are closed. */
 type Ending = "cut" | "reset";
 
-/** What a mode stops. */
-interface Stops {
-  /** How connections end, where they do. */
+/** Traffic that a mode blocks. */
+interface BlockedTraffic {
+  /** How connections are closed; undefined if they stay open. */
   ending?: Ending;
   requests?: true;
   answers?: true;
 }
 
-/** What each mode stops. */
-const STOPS: Readonly<Record<ProxyMode, Stops>> = {
+/** Traffic that each mode blocks. */
+const BLOCKED_TRAFFIC: Readonly<Record<ProxyMode, BlockedTraffic>> = {
   pass: {},
   cut: { ending: "cut" },
   reset: { ending: "reset" },
@@ -48,9 +49,9 @@
   freeze_answers: { answers: true },
 };
 
-/** A small proxy before one TCP and UDP port, which injects faults. */
+/** A fault-injecting proxy in front of one TCP and UDP port. */
 export class FaultProxy {
-  private stops: Stops = STOPS.pass;
+  private blocked: BlockedTraffic = BLOCKED_TRAFFIC.pass;
   private delayMs = 0;
   private readonly links = new Set<Link>();
   private readonly udpLinks = new Map<string, UdpSocket>();
@@ -59,7 +60,7 @@
     private target: number,
     private readonly server: Server,
     private readonly udp: UdpSocket,
-    /** Port it listens on. */
+    /** Port that the proxy listens on, for TCP and UDP. */
     readonly port: number,
   ) {
     server.on("connection", (client) => this.accept(client));
@@ -81,39 +82,39 @@
     }
   }
 
-  /** Changes what is done with what passes.
+  /** Changes what the proxy does with traffic.
    * @param mode What to do.
-   * @param delayMs Time by which everything is held up. */
+   * @param delayMs Delay added to TCP data in both directions, in milliseconds. */
   setMode(mode: ProxyMode, delayMs = 0): void {
-    this.stops = STOPS[mode];
+    this.blocked = BLOCKED_TRAFFIC[mode];
     this.delayMs = delayMs;
-    for (const link of this.links) this.apply(link);
+    for (const link of this.links) this.applyMode(link);
   }
 
-  /** Changes where new connections go, as when another server takes over the address; old ones end.
+  /** Changes the target of new connections, as when another server takes over the address. Closes open connections.
    * @param target Port of the server on the loopback address. */
   setTarget(target: number): void {
     this.target = target;
     for (const link of this.links) this.end(link, "cut");
   }
 
-  /** Refuses new connections, as an address does where nothing listens; old ones end. */
+  /** Refuses new TCP connections, as a port without a listener does. Closes open connections. */
   async stopListening(): Promise<void> {
     for (const link of this.links) this.end(link, "cut");
     await new Promise<void>((resolve) => this.server.close(() => resolve()));
   }
 
-  /** Takes connections again at the same port. */
-  async listenAgain(): Promise<void> {
+  /** Accepts TCP connections again on the same port. */
+  async resumeListening(): Promise<void> {
     await new Promise<void>((resolve) =>
       this.server.listen(this.port, "127.0.0.1", resolve)
     );
   }
 
-  /** Ends the proxy. */
+  /** Stops the proxy and closes its connections. */
   close(): void {
-    this.stops = STOPS.cut;
-    for (const link of this.links) this.apply(link);
+    this.blocked = BLOCKED_TRAFFIC.cut;
+    for (const link of this.links) this.applyMode(link);
     for (const socket of this.udpLinks.values()) socket.close();
     this.udp.close();
     this.server.close();
@@ -123,41 +124,44 @@
     const server = connect(this.target, "127.0.0.1");
     const link = { client, server };
     this.links.add(link);
-    this.pipe(client, server, () => this.stops.requests === true);
-    this.pipe(server, client, () => this.stops.answers === true);
-    const end = (how: Ending) => this.end(link, how);
+    this.pipe(client, server, () => this.blocked.requests === true);
+    this.pipe(server, client, () => this.blocked.answers === true);
+    const end = (ending: Ending) => this.end(link, ending);
     for (const socket of [client, server]) {
       socket.on("error", () => end("reset")).on("close", () => end("cut"));
-      // A reset that comes together with the last bytes is reported as a plain end, but the other side has no address.
+      // A reset that arrives together with the last bytes is reported as a plain end, but then the socket has no remote
+      // address any more.
       socket.prependOnceListener("end", () => {
         if (socket.remoteAddress === undefined) end("reset");
       });
     }
-    this.apply(link);
+    this.applyMode(link);
   }
 
-  private pipe(from: Socket, to: Socket, isFrozen: () => boolean): void {
-    const held: { data: Buffer; at: number }[] = [];
-    const release = () => {
-      const [next] = held;
+  private pipe(from: Socket, to: Socket, isBlocked: () => boolean): void {
+    const delayed: { data: Buffer; at: number }[] = [];
+    const flushDelayed = () => {
+      const [next] = delayed;
       if (!next) return;
       const waitMs = next.at - performance.now();
-      if (waitMs > 0) return void setTimeout(release, waitMs);
+      if (waitMs > 0) return void setTimeout(flushDelayed, waitMs);
       to.write(next.data);
-      held.shift();
-      release();
+      delayed.shift();
+      flushDelayed();
     };
     from.on("data", (data) => {
-      if (isFrozen()) return from.pause(), from.unshift(data);
-      // Nothing overtakes what is held up, also once the delay has ended: bytes of a connection stay in their order.
-      if (this.delayMs === 0 && held.length === 0) return void to.write(data);
-      held.push({ data, at: performance.now() + this.delayMs });
-      if (held.length === 1) release();
+      if (isBlocked()) return from.pause(), from.unshift(data);
+      // Data queues behind delayed data even once the delay has been removed, so that bytes stay in order.
+      if (this.delayMs === 0 && delayed.length === 0) {
+        return void to.write(data);
+      }
+      delayed.push({ data, at: performance.now() + this.delayMs });
+      if (delayed.length === 1) flushDelayed();
     });
   }
 
-  private apply(link: Link): void {
-    const { ending, requests, answers } = this.stops;
+  private applyMode(link: Link): void {
+    const { ending, requests, answers } = this.blocked;
     if (ending) return this.end(link, ending);
     if (requests) link.client.pause();
     else link.client.resume();
@@ -165,7 +169,7 @@
     else link.server.resume();
   }
 
-  /** Ends both sides of a link, once: how the first side ends decides. */
+  /** Closes both sides of a link, once only: how the first side closes determines how both do. */
   private end(link: Link, how: Ending): void {
     if (!this.links.delete(link)) return;
     for (const socket of [link.client, link.server]) {
@@ -175,7 +179,7 @@
   }
 
   private forward(datagram: Buffer, clientPort: number): void {
-    if (this.stops.ending || this.stops.requests) return;
+    if (this.blocked.ending || this.blocked.requests) return;
     const link = this.udpLinks.get(String(clientPort)) ??
       this.openUdp(clientPort);
     link.send(datagram, this.target, "127.0.0.1", () => undefined);
@@ -185,7 +189,7 @@
     const link = createSocket("udp4");
     link.on("error", () => undefined);
     link.on("message", (datagram) => {
-      if (this.stops.ending || this.stops.answers) return;
+      if (this.blocked.ending || this.blocked.answers) return;
       this.udp.send(datagram, clientPort, "127.0.0.1", () => undefined);
     });
     this.udpLinks.set(String(clientPort), link);
@@ -193,7 +197,7 @@
   }
 }
 
-/** Binds a UDP socket, or returns nothing where the port is taken. */
+/** Binds a UDP socket. Returns undefined if the port is in use. */
 async function bindUdp(port: number): Promise<UdpSocket | undefined> {
   const socket = createSocket("udp4");
   return await new Promise((resolve) => {
--- a/fakes/http_fake.ts
+++ b/fakes/http_fake.ts
@@ -6,7 +6,7 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** Answers one request of a stand-in. */
+/** Handles one request to a fake server. */
 export type FakeHandler = (
   request: IncomingMessage,
   response: ServerResponse,
@@ -14,8 +14,8 @@
 ) => Promise<void> | void;
 
 /** Starts an HTTP server on a free port of the loopback address.
- * @param handle Answers each request once its body is there.
- * @param port Port to use, any free one by default. */
+ * @param handle Handles each request once its body has been received.
+ * @param port Port to listen on; any free port by default. */
 export async function listenHttp(
   handle: FakeHandler,
   port = 0,
@@ -36,9 +36,9 @@
   return { server, port: (server.address() as AddressInfo).port };
 }
 
-/** Sends JSON.
+/** Sends a JSON response.
  * @param response The response.
- * @param value What to send.
+ * @param value Value of the body.
  * @param status HTTP status code. */
 export function reply(
   response: ServerResponse,
@@ -49,7 +49,7 @@
   response.end(JSON.stringify(value));
 }
 
-/** Ends a server with all its connections.
+/** Closes a server and all its connections.
  * @param server The server. */
 export async function closeHttp(server: Server): Promise<void> {
   server.closeAllConnections();
--- a/fakes/ledger.ts
+++ b/fakes/ledger.ts
@@ -1,26 +1,27 @@
-/** One run of a request as an upstream saw it. */
+/** One execution of a request as an upstream saw it. */
 export interface LedgerRun {
   requestId: string;
-  /** Idempotency key, where one came. */
+  /** Idempotency key; "" if the request had none. */
   key: string;
   chat: string;
   startedAt: number;
   endedAt: number | undefined;
   promptTokens: number;
   cachedTokens: number;
-  /** Event the run started from. */
+  /** Event that the run started from. */
   resumeFrom: number;
   /** Body of a service call. */
   body: string;
 }
 
-/** What an upstream writes down of itself; tests and reports judge by it alone. */
+/** Record of what an upstream did. Tests and reports rely on it alone, not on what routers say. */
 export class Ledger {
   readonly runs: LedgerRun[] = [];
-  /** Requests in flight, sampled at each change: milliseconds since the epoch and the number. */
+  /** Requests in flight after each change, as pairs of Unix milliseconds and the number. */
   readonly loads: [number, number][] = [];
-  readonly orders: { fence: number; models: string[]; taken: boolean }[] = [];
-  /** Times at which work came that was refused because the upstream was leaving. */
+  readonly orders: { fence: number; models: string[]; isAccepted: boolean }[] =
+    [];
+  /** Times of the requests that were declined, because the upstream was leaving or asked for a backoff. */
   readonly refusedAt: number[] = [];
   peakInFlight = 0;
 
@@ -31,8 +32,8 @@
     return new Ledger();
   }
 
-  /** Writes down the requests in flight.
-   * @param inFlight The number now. */
+  /** Records the number of requests in flight.
+   * @param inFlight The current number. */
   recordLoad(inFlight: number): void {
     this.loads.push([Date.now(), inFlight]);
     this.peakInFlight = Math.max(this.peakInFlight, inFlight);
--- a/fakes/prefix_cache.ts
+++ b/fakes/prefix_cache.ts
@@ -1,4 +1,4 @@
-/** A cache of chats' contexts with limited memory; the least recently used goes first. */
+/** Prefix cache of a fake engine, with a limited number of tokens and least-recently-used eviction. */
 export class PrefixCache {
   private readonly tokensByChat = new Map<string, number>();
   private used = 0;
@@ -6,20 +6,20 @@
   private constructor(private readonly capacity: number) {}
 
   /** Creates an empty cache.
-   * @param capacity Tokens it holds. */
+   * @param capacity Capacity in tokens. */
   static create(capacity: number): PrefixCache {
     return new PrefixCache(capacity);
   }
 
-  /** Tokens of a chat that are cached.
-   * @param chat The chat. */
+  /** Number of cached tokens of a chat.
+   * @param chat Id of the chat. */
   getTokens(chat: string): number {
     return this.tokensByChat.get(chat) ?? 0;
   }
 
-  /** Caches a chat's context.
-   * @param chat The chat.
-   * @param tokens Length of the context. */
+  /** Caches the context of a chat and evicts others if the capacity is exceeded.
+   * @param chat Id of the chat.
+   * @param tokens Length of the context in tokens. */
   put(chat: string, tokens: number): void {
     this.used += tokens - this.getTokens(chat);
     this.tokensByChat.delete(chat);
@@ -31,7 +31,7 @@
     }
   }
 
-  /** The cached chats with their tokens, the least recently used first. */
+  /** Cached chats with their numbers of tokens, the least recently used first. */
   getEntries(): [string, number][] {
     return [...this.tokensByChat];
   }
--- a/fakes/prompt_traffic.ts
+++ b/fakes/prompt_traffic.ts
@@ -1,43 +1,43 @@
 import type { Random } from "../src/random/random.ts";
 
-/** Skew of the popularity of prompts. */
-const SKEW = 0.3;
-/** Numbers of the prompts of one kind. */
+/** Exponent of the Zipf distribution of the popularity of prompts. */
+const POPULARITY_EXPONENT = 0.3;
+/** Size of the range of prompt numbers reserved for each kind of request. */
 const PROMPTS_PER_KIND = 1_000_000;
 
-/** A kind of requests to engines. */
+/** A kind of request to engines. */
 interface RequestKind {
-  /** Its part of the traffic. */
+  /** Relative share of the traffic. */
   weight: number;
-  /** Prompts that are asked for at a time, for each 100 requests in a second. */
+  /** Distinct prompts in use, per 100 requests per second. */
   prompts: number;
-  /** Tokens of a shared prompt. */
+  /** Length of a shared prompt in tokens. */
   tokens: number;
-  /** Mean events of an answer, and the spread of their logarithm. */
+  /** Mean number of events of an answer, and the standard deviation of its logarithm. */
   events: number;
   spread: number;
 }
 
 /** Long documents, chats, and short questions. */
-const KINDS: readonly RequestKind[] = [
+const REQUEST_KINDS: readonly RequestKind[] = [
   { weight: 29.3, prompts: 79, tokens: 10_512, events: 55, spread: 0.44 },
   { weight: 41.4, prompts: 74, tokens: 699, events: 42, spread: 0.69 },
   { weight: 50.1, prompts: 135, tokens: 2_041, events: 3, spread: 1.4 },
 ];
 
-/** Names of the kinds of requests. */
+/** Names of the kinds of request, in the order of their definitions. */
 export const KIND_NAMES = ["read", "chat", "tag"] as const;
 
-/** What traffic is made of. */
+/** Options of the traffic. */
 export interface PromptTrafficOptions {
   requestsPerSecond: number;
-  /** Part of each kind's traffic that asks for popular prompts, from `hotFromMs` on. */
+  /** Share of each kind's requests that use hot prompts, from `hotFromMs` on. */
   hotShare: number;
-  /** Popular prompts of each kind at a time. */
+  /** Number of hot prompts of each kind at a time. */
   hotPrompts: number;
-  /** Time of traffic before prompts become popular, in milliseconds. */
+  /** Time from the start of the traffic until there are hot prompts, in milliseconds. */
   hotFromMs: number;
-  /** Time after which other prompts are popular, in milliseconds. */
+  /** Time after which the hot prompts are replaced by others, in milliseconds. */
   hotForMs: number;
 }
 
@@ -46,47 +46,49 @@
   kind: (typeof KIND_NAMES)[number];
   /** Number of the shared prompt. */
   prompt: number;
-  /** Tokens of that prompt. */
+  /** Length of the shared prompt in tokens. */
   tokens: number;
-  /** Events of the answer. */
+  /** Number of events of the answer. */
   events: number;
 }
 
-/** Draws requests that share prompts. */
+/** Generates random requests that share prompts. */
 export class PromptTraffic {
-  private readonly kindSums = buildSums(KINDS.map(({ weight }) => weight));
-  private readonly promptSums: readonly (readonly number[])[];
+  private readonly cumulativeKindWeights = buildCumulativeWeights(
+    REQUEST_KINDS.map(({ weight }) => weight),
+  );
+  private readonly cumulativePromptWeights: readonly (readonly number[])[];
 
   private constructor(
     private readonly options: PromptTrafficOptions,
     private readonly random: Random,
   ) {
     const { requestsPerSecond } = options;
-    this.promptSums = KINDS.map(({ prompts }) =>
-      buildPopularity(Math.round(prompts * requestsPerSecond / 100))
+    this.cumulativePromptWeights = REQUEST_KINDS.map(({ prompts }) =>
+      buildCumulativePopularity(Math.round(prompts * requestsPerSecond / 100))
     );
   }
 
-  /** Creates traffic.
-   * @param options What it is made of.
-   * @param random Source of its requests. */
+  /** Creates a generator of traffic.
+   * @param options Options of the traffic.
+   * @param random Source of randomness. */
   static create(options: PromptTrafficOptions, random: Random): PromptTraffic {
     return new PromptTraffic(options, random);
   }
 
-  /** Draws the pause before the next request, in milliseconds. */
+  /** Draws the exponentially distributed time to the next request, in milliseconds. */
   drawPauseMs(): number {
     const { requestsPerSecond } = this.options;
     return -Math.log(1 - this.random.fraction()) * 1_000 / requestsPerSecond;
   }
 
   /** Draws a request.
-   * @param elapsedMs Milliseconds since the traffic began. */
+   * @param elapsedMs Milliseconds since the start of the traffic. */
   drawRequest(elapsedMs: number): PromptRequest {
-    const index = draw(this.kindSums, this.random);
-    const kind = KINDS[index]!;
+    const index = drawIndex(this.cumulativeKindWeights, this.random);
+    const kind = REQUEST_KINDS[index]!;
     const prompt = this.drawHotPrompt(elapsedMs) ??
-      draw(this.promptSums[index]!, this.random);
+      drawIndex(this.cumulativePromptWeights[index]!, this.random);
     return {
       kind: KIND_NAMES[index]!,
       prompt: index * PROMPTS_PER_KIND + prompt,
@@ -95,7 +97,7 @@
     };
   }
 
-  /** A popular prompt, whose number is above those of all others; undefined where the request asks for none. */
+  /** Draws a hot prompt, numbered above all other prompts of its kind; undefined if the request uses none. */
   private drawHotPrompt(elapsedMs: number): number | undefined {
     const { hotShare, hotFromMs, hotForMs, hotPrompts } = this.options;
     const hotMs = elapsedMs - hotFromMs;
@@ -106,24 +108,28 @@
   }
 }
 
-/** Sums of the weights of prompts, the most popular first. */
-function buildPopularity(count: number): number[] {
-  return buildSums(
-    Array.from({ length: count }, (_, index) => (index + 1) ** -SKEW),
+/** Cumulative weights of prompts, the most popular first. */
+function buildCumulativePopularity(count: number): number[] {
+  return buildCumulativeWeights(
+    Array.from(
+      { length: count },
+      (_, index) => (index + 1) ** -POPULARITY_EXPONENT,
+    ),
   );
 }
 
-function buildSums(weights: readonly number[]): number[] {
+function buildCumulativeWeights(weights: readonly number[]): number[] {
   let sum = 0;
   return weights.map((weight) => sum += weight);
 }
 
-/** Draws an index by sums of weights. */
-function draw(sums: readonly number[], random: Random): number {
+/** Draws an index according to cumulative weights. */
+function drawIndex(sums: readonly number[], random: Random): number {
   const drawn = random.fraction() * sums.at(-1)!;
   return sums.findIndex((sum) => drawn < sum);
 }
 
+/** Draws the number of events of an answer from a log-normal distribution, clamped to 1 and three times the mean. */
 function drawEvents(kind: RequestKind, random: Random): number {
   const { events, spread } = kind;
   const angle = 2 * Math.PI * random.fraction();
--- a/fakes/reset_socket.ts
+++ b/fakes/reset_socket.ts
@@ -1,9 +1,9 @@
 import type { Socket } from "node:net";
 
-/** Ends a connection by a reset.
- * The runtime shuts a socket down before it resets it, and a second ending meanwhile leaves the handle in a state in which
- * the process never ends; so this is called once for a socket, and nothing else ends it after. A socket that is not open,
- * or whose peer takes no bytes, is only destroyed, for its shutdown might never come.
+/** Closes a connection with a TCP reset.
+ * Call this at most once per socket, and do not close the socket otherwise afterwards: the runtime shuts a socket down
+ * before it resets it, and closing it again meanwhile leaves a handle that keeps the process from exiting. A socket
+ * that is not open, or whose peer accepts no data, is only destroyed, because its shutdown might never complete.
  * @param socket The connection. */
 export function resetSocket(socket: Socket): void {
   const mayReset = !socket.connecting && !socket.destroyed &&
--- a/fakes/worker_entry.ts
+++ b/fakes/worker_entry.ts
@@ -1,20 +1,20 @@
-/** What differs between the entries of workers. */
+/** Fields that differ between the entries of workers. */
 export interface WorkerEntryOptions {
   service: string;
   /** Address as ip:port. */
   address: string;
   state: "ready" | "draining";
   slots: number;
-  /** Unix milliseconds of its start. */
+  /** Start time in Unix milliseconds. */
   startedAt: number;
 }
 
-/** The entry of a worker as the platform's store holds it, whole.
- * @param options What differs. */
+/** Builds the complete entry of a worker as the platform's store holds it.
+ * @param options Fields that differ between workers. */
 export function buildWorkerEntry(options: WorkerEntryOptions) {
-  const { startedAt, ...said } = options;
+  const { startedAt, ...published } = options;
   return {
-    ...said,
+    ...published,
     zone: "h",
     version: "v1",
     cold_left_ms: 0,
--- a/soak/crashing_requests.ts
+++ b/soak/crashing_requests.ts
@@ -65,7 +65,7 @@
   );
   await delay(random.integer(...GONE_MS));
   await fleet.addWorker(worker.service, worker.proxy);
-  await worker.proxy.listenAgain();
+  await worker.proxy.resumeListening();
   await lapsing;
   fleet.faults.end(window);
 }
