--- a/fakes/bound_ledger.ts
+++ b/fakes/bound_ledger.ts
@@ -47,7 +47,7 @@
     let worst: LoadBoundWindow = { requests: 0, above: 0 };
     let first = 0;
     let above = 0;
-    const firstFullWindowAt = (this.arrivals[0]?.at ?? 0) + WINDOW_MS;
+    const fullFrom = (this.arrivals[0]?.at ?? 0) + WINDOW_MS;
     this.arrivals.forEach(({ at, excess }, index) => {
       above += Number(excess > 0);
       while (this.arrivals[first]!.at <= at - WINDOW_MS) {
@@ -55,9 +55,7 @@
         first += 1;
       }
       const window = { requests: index - first + 1, above };
-      if (at >= firstFullWindowAt && getPart(window) > getPart(worst)) {
-        worst = window;
-      }
+      if (at >= fullFrom && getPart(window) > getPart(worst)) worst = window;
     });
     return worst;
   }
--- a/fakes/engine_stream.ts
+++ b/fakes/engine_stream.ts
@@ -7,7 +7,7 @@
   prompt: string;
   priority: number;
   /** Chunks generated so far. */
-  produced: number;
+  chunks: number;
   total: number;
   reader: ServerResponse | undefined;
   nextIndex: number;
--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -13,7 +13,7 @@
 import {
   applyAvailability,
   type UpstreamAvailability,
-} from "./upstream_availability.ts";
+} from "./upstream_word.ts";
 
 /** A fault that an engine injects into its answers. */
 export type EngineFault = "none" | "crossed" | "truncated" | "silent";
@@ -79,7 +79,7 @@
   /** Total number of chunks generated for the requests in flight. */
   get piecesInFlight(): number {
     return [...this.streams.values()].reduce(
-      (sum, stream) => sum + stream.produced,
+      (sum, stream) => sum + stream.chunks,
       0,
     );
   }
@@ -199,7 +199,7 @@
       run,
       prompt: chat.messages.at(-1)?.content ?? "",
       priority: Number(request.headers["x-priority"] ?? 0),
-      produced: resumeFrom,
+      chunks: resumeFrom,
       total,
       reader: undefined,
       nextIndex: resumeFrom,
@@ -243,15 +243,15 @@
     const uncached = stream.run.promptTokens - stream.run.cachedTokens;
     await delay(this.slowness * uncached * prefillMsPerThousand / 1000);
     this.cache.put(stream.run.chat, stream.run.promptTokens + stream.total);
-    while (stream.produced < stream.total && this.isActive(stream, requestId)) {
+    while (stream.chunks < stream.total && this.isActive(stream, requestId)) {
       await delay(
         this.slowness * tokenMs * (1 + batchSlowdown * this.streams.size),
       );
-      stream.produced += 1;
+      stream.chunks += 1;
       this.flush(stream, requestId);
     }
     this.slots.release();
-    if (stream.produced < stream.total) return;
+    if (stream.chunks < stream.total) return;
     await this.waitForReader(stream, requestId);
     this.end(requestId);
   }
@@ -275,7 +275,7 @@
   private flush(stream: EngineStream, requestId: string): void {
     const { reader } = stream;
     if (!reader) return;
-    while (stream.nextIndex < stream.produced) {
+    while (stream.nextIndex < stream.chunks) {
       const index = stream.nextIndex++;
       const choices = [{ delta: { content: getChunk(stream.prompt, index) } }];
       this.writeEvent(
@@ -290,9 +290,7 @@
         return;
       }
     }
-    if (stream.produced < stream.total || stream.nextIndex > stream.total) {
-      return;
-    }
+    if (stream.chunks < stream.total || stream.nextIndex > stream.total) return;
     const { promptTokens, cachedTokens } = stream.run;
     const usage = {
       prompt_tokens: promptTokens,
--- a/fakes/fake_service.ts
+++ b/fakes/fake_service.ts
@@ -5,7 +5,7 @@
 import {
   applyAvailability,
   type UpstreamAvailability,
-} from "./upstream_availability.ts";
+} from "./upstream_word.ts";
 
 /** Options of a fake service. */
 export interface FakeServiceOptions {
--- a/fakes/fault_proxy.ts
+++ b/fakes/fault_proxy.ts
@@ -139,24 +139,22 @@
   }
 
   private pipe(from: Socket, to: Socket, isBlocked: () => boolean): void {
-    const delayed: { data: Buffer; at: number }[] = [];
-    const flushDelayed = () => {
-      const [next] = delayed;
+    const queue: { data: Buffer; at: number }[] = [];
+    const flush = () => {
+      const [next] = queue;
       if (!next) return;
       const waitMs = next.at - performance.now();
-      if (waitMs > 0) return void setTimeout(flushDelayed, waitMs);
+      if (waitMs > 0) return void setTimeout(flush, waitMs);
       to.write(next.data);
-      delayed.shift();
-      flushDelayed();
+      queue.shift();
+      flush();
     };
     from.on("data", (data) => {
       if (isBlocked()) return from.pause(), from.unshift(data);
       // Data queues behind delayed data even once the delay has been removed, so that bytes stay in order.
-      if (this.delayMs === 0 && delayed.length === 0) {
-        return void to.write(data);
-      }
-      delayed.push({ data, at: performance.now() + this.delayMs });
-      if (delayed.length === 1) flushDelayed();
+      if (this.delayMs === 0 && queue.length === 0) return void to.write(data);
+      queue.push({ data, at: performance.now() + this.delayMs });
+      if (queue.length === 1) flush();
     });
   }
 
