--- a/fakes/fault_proxy.ts
+++ b/fakes/fault_proxy.ts
@@ -168,10 +168,10 @@
   }
 
   /** Closes both sides of a link, once only: how the first side closes determines how both do. */
-  private end(link: Link, how: Ending): void {
+  private end(link: Link, ending: Ending): void {
     if (!this.links.delete(link)) return;
     for (const socket of [link.client, link.server]) {
-      if (how === "reset") resetSocket(socket);
+      if (ending === "reset") resetSocket(socket);
       else socket.destroy();
     }
   }
--- a/soak/judge_answers.ts
+++ b/soak/answer_invariants.ts
@@ -1,44 +1,44 @@
-import { judgeBackoffs, judgeLeavingAnswers } from "./availability.ts";
-import { AFTERMATH_MS, BOUNDS } from "./bounds.ts";
+import { checkBackoffs, checkLeavingAnswers } from "./availability.ts";
+import { BOUNDS, FAULT_RECOVERY_MS } from "./bounds.ts";
 import { type CallerAttempt, KIND_RULES } from "./caller_attempt.ts";
-import { judgeCrashingRequests } from "./crashing_requests.ts";
+import { checkCrashingRequests } from "./crashing_requests.ts";
 import type { Evidence } from "./evidence.ts";
 import { CUSTOMER, LASTING_KEY } from "./soak_fleet.ts";
 import { countEvents, getEventData } from "./stream_text.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
-/** Looks for breaches of one promise; returns a line for each. */
-export type Judge = (evidence: Evidence) => string[];
-
-/** Statuses that say that a request has not run. */
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Statuses that refuse what the configuration does not allow. */
-const DENIED: ReadonlySet<number> = new Set([400, 401, 403, 404, 413]);
-/** Time after the end of a worker's answer in which its last bytes may not have left it, in milliseconds: one that ended by
- * its own account was lost with a worker that crashed 0.2 and 0.9 ms later. */
-const LAST_BYTES_MS = 5;
-/** Closing part of a planned stop in which what still runs may be broken off. */
-const STOP_PART = 0.83;
-
-/** The promises that hold whatever the time something takes. */
-export const ANSWER_JUDGES: Readonly<Record<string, Judge>> = {
-  "an answer is that of its own request, and whole": judgeWholeness,
-  "a failure with a worker's seal is the worker's": judgeFailures,
-  "what may run once runs once": judgeOnce,
-  "what is said not to have run has not": judgeNotRun,
-  "a worker runs what a caller sent": judgeUnchanged,
-  "no request reaches more workers than its route allows": judgeWorkers,
-  "a configuration never goes back": judgeRollback,
-  "a sound worker's answer reaches its caller": judgeLost,
-  "nothing proper is denied": judgeDenied,
+/** Checks one invariant. Returns a line for each breach. */
+export type InvariantCheck = (evidence: Evidence) => string[];
+
+/** Statuses that state that a request has not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that deny a request that the configuration does not allow. */
+const DENIAL_STATUSES: ReadonlySet<number> = new Set([400, 401, 403, 404, 413]);
+/** Time after the end of a worker's answer in which its last bytes may not have been sent yet, in milliseconds: answers
+ * that the worker had ended were lost when it crashed 0.2 and 0.9 ms later. */
+const FINAL_FLUSH_MS = 5;
+/** Share of a planned stop's duration in which requests must complete; later, those still running may be cut off. */
+const GRACEFUL_STOP_SHARE = 0.83;
+
+/** Checks of the invariants that hold regardless of timing, by the name that is printed with breaches. */
+export const ANSWER_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
+  "an answer is that of its own request, and whole": checkAnswers,
+  "a failure with a worker's seal is the worker's": checkSealedFailures,
+  "what may run once runs once": checkSingleRuns,
+  "what is said not to have run has not": checkNotRunAnswers,
+  "a worker runs what a caller sent": checkUnchanged,
+  "no request reaches more workers than its route allows": checkWorkerCounts,
+  "a configuration never goes back": checkRollbacks,
+  "a sound worker's answer reaches its caller": checkLostAnswers,
+  "nothing proper is denied": checkDenials,
   "a request that crashed three workers reaches few more":
-    judgeCrashingRequests,
-  "a worker that asked for a backoff gets few requests in it": judgeBackoffs,
+    checkCrashingRequests,
+  "a worker that asked for a backoff gets few requests in it": checkBackoffs,
   "a worker that says it leaves gets no new work from who passed that on":
-    judgeLeavingAnswers,
+    checkLeavingAnswers,
 };
 
-function judgeWholeness({ attempts }: Evidence): string[] {
+function checkAnswers({ attempts }: Evidence): string[] {
   return attempts.filter((attempt) => attempt.status === 200).flatMap(
     (attempt) => {
       const problem = attempt.seal === undefined
@@ -76,7 +76,7 @@
   return undefined;
 }
 
-function judgeFailures({ attempts, runs }: Evidence): string[] {
+function checkSealedFailures({ attempts, runs }: Evidence): string[] {
   const statuses = new Set(
     runs.map((run) => `${run.requestId} ${run.status}`),
   );
@@ -89,29 +89,29 @@
   );
 }
 
-function judgeOnce(evidence: Evidence): string[] {
-  const runsOf = groupRuns(evidence.runs);
+function checkSingleRuns(evidence: Evidence): string[] {
+  const runsOf = groupRunsById(evidence.runs);
   return evidence.attempts.filter((attempt) =>
     !KIND_RULES[attempt.kind].mayRepeat &&
     (runsOf.get(attempt.requestId)?.length ?? 0) > 1
   ).map((attempt) => `${attempt.requestId} ran more than once`);
 }
 
-function judgeNotRun(evidence: Evidence): string[] {
-  const runsOf = groupRuns(evidence.runs);
+function checkNotRunAnswers(evidence: Evidence): string[] {
+  const runsOf = groupRunsById(evidence.runs);
   return evidence.attempts.filter((attempt) =>
     !KIND_RULES[attempt.kind].mayRepeat &&
-    NOT_RUN.has(attempt.status ?? 0) && runsOf.has(attempt.requestId)
+    NOT_RUN_STATUSES.has(attempt.status ?? 0) && runsOf.has(attempt.requestId)
   ).map((attempt) => `${attempt.requestId} got ${attempt.status} and ran`);
 }
 
-function judgeUnchanged({ attempts, runs }: Evidence): string[] {
-  const attemptOf = new Map(
+function checkUnchanged({ attempts, runs }: Evidence): string[] {
+  const attemptById = new Map(
     attempts.map((attempt) => [attempt.requestId, attempt]),
   );
   return runs.flatMap((run) => {
-    const attempt = attemptOf.get(run.requestId);
-    if (!attempt) return [`${run.requestId} ran and nobody sent it`];
+    const attempt = attemptById.get(run.requestId);
+    if (!attempt) return [`${run.requestId} ran but no caller sent it`];
     const rules = KIND_RULES[attempt.kind];
     const isSame = run.method === rules.method && run.path === attempt.path &&
       run.body === attempt.body && run.prompt === attempt.prompt &&
@@ -121,8 +121,8 @@
   });
 }
 
-function judgeWorkers(evidence: Evidence): string[] {
-  const runsOf = groupRuns(evidence.runs);
+function checkWorkerCounts(evidence: Evidence): string[] {
+  const runsOf = groupRunsById(evidence.runs);
   return evidence.attempts.flatMap(({ requestId, kind }) => {
     const runs = runsOf.get(requestId) ?? [];
     const workers = new Set(runs.map((run) => run.worker)).size;
@@ -132,15 +132,16 @@
   });
 }
 
-/** Within one life of a gateway, a request sent after a newer version showed must not be served as an older one. */
-function judgeRollback({ attempts }: Evidence): string[] {
+/** Finds requests served by an older version of the configuration although they were sent after an answer of the same
+ * start of the gateway had shown a newer one. */
+function checkRollbacks({ attempts }: Evidence): string[] {
   const served = attempts.filter((attempt) =>
     attempt.version !== undefined && attempt.status === 200
   );
   return served.flatMap((later) => {
-    const newer = served.find((sooner) =>
-      sooner.gateway === later.gateway && sooner.life === later.life &&
-      sooner.version! > later.version! && sooner.endedAt! < later.sentAt
+    const newer = served.find((earlier) =>
+      earlier.gateway === later.gateway && earlier.life === later.life &&
+      earlier.version! > later.version! && earlier.endedAt! < later.sentAt
     );
     return newer
       ? [`${later.gateway} served ${later.version} after ${newer.version}`]
@@ -148,12 +149,13 @@
   });
 }
 
-function judgeLost(evidence: Evidence): string[] {
-  const runsOf = groupRuns(evidence.runs);
+function checkLostAnswers(evidence: Evidence): string[] {
+  const runsOf = groupRunsById(evidence.runs);
   return evidence.attempts.flatMap((attempt) => {
     const run = runsOf.get(attempt.requestId)?.at(-1);
     if (!run || attempt.isWhole || attempt.gaveUpAt !== undefined) return [];
-    return isSoundRun(run, evidence) && isSoundWay(attempt, evidence)
+    return isUndisturbedRun(run, evidence) &&
+        isUndisturbedAttempt(attempt, evidence)
       ? [
         `${attempt.requestId}: ${run.worker} answered, ${attempt.gateway} did not (status ${attempt.status})`,
       ]
@@ -161,35 +163,39 @@
   });
 }
 
-/** Whether the worker gave its whole answer and nothing was in the way. */
-function isSoundRun(run: WorkerRun, { faults }: Evidence): boolean {
-  const leftAt = (run.endedAt ?? Infinity) + LAST_BYTES_MS;
+/** Whether the worker sent its complete answer and no fault affected it meanwhile. */
+function isUndisturbedRun(run: WorkerRun, { faults }: Evidence): boolean {
+  const leftAt = (run.endedAt ?? Infinity) + FINAL_FLUSH_MS;
   return run.isWhole && !run.wasCancelled &&
-    !faults.wasHit(run.worker, run.startedAt - AFTERMATH_MS, leftAt);
+    !faults.wasHit(run.worker, run.startedAt - FAULT_RECOVERY_MS, leftAt);
 }
 
-/** Whether nothing but planned work befell the gateway, which had the time for it. */
-function isSoundWay(attempt: CallerAttempt, evidence: Evidence): boolean {
+/** Whether no unplanned fault affected the gateway, and no planned stop was due to cut the request off. */
+function isUndisturbedAttempt(
+  attempt: CallerAttempt,
+  evidence: Evidence,
+): boolean {
   const { gateway, sentAt, endedAt } = attempt;
   const until = endedAt ?? Infinity;
   if (evidence.faults.wasHit(gateway, sentAt, until)) return false;
-  const latest = BOUNDS.stopWithinMs * STOP_PART;
-  return !evidence.stops.some((stop) =>
-    stop.gateway === gateway && until > stop.at + latest &&
-    sentAt < stop.at + BOUNDS.stopWithinMs + AFTERMATH_MS
+  const gracefulMs = BOUNDS.stopWithinMs * GRACEFUL_STOP_SHARE;
+  return !evidence.plannedStops.some((stop) =>
+    stop.gateway === gateway && until > stop.at + gracefulMs &&
+    sentAt < stop.at + BOUNDS.stopWithinMs + FAULT_RECOVERY_MS
   );
 }
 
-/** Requests with the lasting key on lasting routes are allowed by every version. */
-function judgeDenied({ attempts }: Evidence): string[] {
+/** Finds denied requests with the permanent key on permanent routes, which each version of the configuration allows. */
+function checkDenials({ attempts }: Evidence): string[] {
   return attempts.filter((attempt) =>
     attempt.key === LASTING_KEY && attempt.kind !== "version" &&
-    DENIED.has(attempt.status ?? 0)
+    DENIAL_STATUSES.has(attempt.status ?? 0)
   ).map((attempt) => `${attempt.requestId} got ${attempt.status}`);
 }
 
-/** The runs of each request, in their order. */
-export function groupRuns(
+/** Groups runs by request id and keeps their order.
+ * @param runs Runs of workers. */
+export function groupRunsById(
   runs: readonly WorkerRun[],
 ): Map<string, WorkerRun[]> {
   const runsOf = new Map<string, WorkerRun[]>();
--- a/soak/caller_attempt.ts
+++ b/soak/caller_attempt.ts
@@ -1,7 +1,7 @@
-/** The kinds of request that callers send. */
+/** Kinds of request that callers send. */
 export type RequestKind = "look" | "book" | "chat" | "talk" | "version";
 
-/** What a kind of request is allowed, as its route is published. */
+/** Rules for a kind of request, as published with its route. */
 export interface KindRules {
   method: "GET" | "POST";
   service: string;
@@ -11,61 +11,61 @@
   timeoutMs: number;
 }
 
-/** What services that are no engines answer. */
-const PLAIN = {
+/** Rules for requests to the plain service, which is not an engine. */
+const PLAIN_SERVICE = {
   service: "plain",
   isStream: false,
   timeoutMs: 2_000,
 } as const;
-/** What engines answer. */
-const ENGINE = {
+/** Rules for requests to engines. */
+const ENGINE_SERVICE = {
   service: "engine",
   isStream: true,
   timeoutMs: 3_000,
 } as const;
-/** What may be sent again after an attempt that may have run. */
+/** Rules for requests that may be sent again after an attempt that may have run. */
 const REPEATABLE = { mayRepeat: true, maxAttempts: 2 } as const;
-/** What may not. */
-const ONCE = { mayRepeat: false, maxAttempts: 1 } as const;
+/** Rules for requests that must not be sent again after such an attempt. */
+const NOT_REPEATABLE = { mayRepeat: false, maxAttempts: 1 } as const;
 
-/** The rules of each kind. */
+/** Rules for each kind of request. */
 export const KIND_RULES: Readonly<Record<RequestKind, KindRules>> = {
-  look: { method: "GET", ...PLAIN, ...REPEATABLE },
-  book: { method: "POST", ...PLAIN, ...ONCE },
-  chat: { method: "POST", ...ENGINE, ...REPEATABLE },
-  talk: { method: "POST", ...ENGINE, ...ONCE },
-  version: { method: "GET", ...PLAIN, ...REPEATABLE },
+  look: { method: "GET", ...PLAIN_SERVICE, ...REPEATABLE },
+  book: { method: "POST", ...PLAIN_SERVICE, ...NOT_REPEATABLE },
+  chat: { method: "POST", ...ENGINE_SERVICE, ...REPEATABLE },
+  talk: { method: "POST", ...ENGINE_SERVICE, ...NOT_REPEATABLE },
+  version: { method: "GET", ...PLAIN_SERVICE, ...REPEATABLE },
 };
 
-/** One sending of a request by a caller, and what came back; times are monotonic milliseconds of the soak's process. */
+/** One attempt of a caller and its answer. Times are monotonic milliseconds of the soak process. */
 export interface CallerAttempt {
   requestId: string;
   kind: RequestKind;
   path: string;
   body: string;
-  /** Headers that only callers set, as the worker is to see them. */
+  /** Values of the prompt headers, separated by `|`, as the worker must receive them. */
   prompt: string;
   key: string;
-  /** Version of the configuration that the path is about, for requests of that kind. */
+  /** Version of the configuration that the path belongs to; defined for requests of kind `version` only. */
   version: number | undefined;
-  /** Last event that the caller has, 0 where the stream starts at its beginning. */
+  /** Last event that the caller has received; 0 if the stream starts at its beginning. */
   afterEvent: number;
   gateway: string;
-  /** Number of the start of the gateway's process to which the connection goes. */
+  /** Which start of the gateway's process the request was sent to, as a count of its starts. */
   life: number;
   sentAt: number;
   endedAt: number | undefined;
   status: number | undefined;
-  /** Worker's seal on the answer, where it has one. */
+  /** Response seal of the worker; undefined if the answer has none. */
   seal: string | undefined;
   text: string;
-  /** Whether the answer came to a proper end. */
+  /** Whether the answer ended normally. */
   isWhole: boolean;
-  /** When the caller closed its connection by itself. */
+  /** When the caller gave up and closed its connection; undefined if it did not. */
   gaveUpAt: number | undefined;
 }
 
-/** What an attempt holds of its answer before one came. */
+/** Fields of an attempt whose answer has not arrived yet. */
 export const NO_ANSWER = {
   endedAt: undefined,
   status: undefined,
--- a/soak/crashing_requests.ts
+++ b/soak/crashing_requests.ts
@@ -6,110 +6,111 @@
 import type { SoakFleet } from "./soak_fleet.ts";
 import type { SoakWorker } from "./soak_worker.ts";
 
-/** Begins the last part of the path of a request that crashes each worker which begins it. */
-const CRASHING_NAME = "crash-";
+/** Prefix of the last path segment of a request that crashes each worker that starts to run it. */
+const CRASHING_NAME_PREFIX = "crash-";
 /** Kinds of request that may crash workers. */
-const KINDS: readonly RequestKind[] = ["look", "book", "chat", "talk"];
-/** Tries of one such request; together they last beyond the bound on what may come after its third crash. */
-const TRIES = 24;
-/** Least and most pause between two tries, in milliseconds. */
-const PAUSE_MS = [80, 500] as const;
-/** Least and most time for which a worker that crashed is gone, in milliseconds. */
-const GONE_MS = [300, 1_500] as const;
-/** Time after which the entry of a worker that crashed goes, in milliseconds: three heartbeats. */
-export const ENTRY_LAPSES_MS = 1_200;
-/** Time after the third crash from which a request may reach few more workers, in milliseconds. */
-const HEARD_WITHIN_MS = 3_000;
-/** Times that it may reach a worker after that. */
-const LATE_TRIES = 3;
+const CRASHING_KINDS: readonly RequestKind[] = ["look", "book", "chat", "talk"];
+/** Number of times that a crashing request is sent; together they last longer than the detection time after its third
+ * crash. */
+const SEND_COUNT = 24;
+/** Range of the pause between two attempts, in milliseconds. */
+const PAUSE_RANGE_MS = [80, 500] as const;
+/** Range of the downtime of a crashed worker, in milliseconds. */
+const DOWNTIME_RANGE_MS = [300, 1_500] as const;
+/** Time after which the entry of a crashed worker is removed, in milliseconds: three heartbeats. */
+export const ENTRY_TTL_MS = 1_200;
+/** Time after the third crash by which all hosts must have detected a crashing request, in milliseconds. */
+const DETECTION_MS = 3_000;
+/** Most times that a crashing request may reach a worker after that. */
+const MAX_LATE_RUNS = 3;
 
-/** Whether a path is that of a request which crashes workers.
- * @param path The path. */
+/** Whether a path belongs to a request that crashes workers.
+ * @param path Path of the request. */
 export function isCrashingPath(path: string): boolean {
-  return path.includes(`/${CRASHING_NAME}`);
+  return path.includes(`/${CRASHING_NAME_PREFIX}`);
 }
 
-/** A caller sends one request that crashes workers again and again, at any gateway and each time under another id.
+/** Sends one request that crashes workers repeatedly, through random gateways and with a new request id each time.
  * @param fleet The fleet.
- * @param random Source of the request and its pauses. */
+ * @param random Source of randomness. */
 export async function sendCrashingRequest(
   fleet: SoakFleet,
   random: Random,
 ): Promise<void> {
   const number = random.integer(1, 1_000_000);
   const caller = SoakCaller.create(`crashing-${number}`, fleet, random, true);
-  const kind = random.pick(KINDS);
-  for (let count = 0; count < TRIES; count++) {
-    await caller.sendAs(kind, `${CRASHING_NAME}${number}`);
-    await delay(random.integer(...PAUSE_MS));
+  const kind = random.pick(CRASHING_KINDS);
+  for (let count = 0; count < SEND_COUNT; count++) {
+    await caller.sendNamed(kind, `${CRASHING_NAME_PREFIX}${number}`);
+    await delay(random.integer(...PAUSE_RANGE_MS));
   }
   await caller.close();
 }
 
-/** Crashes a worker, and lets another start at its address after a while.
+/** Crashes a worker and starts another at its address after a random downtime.
  * @param fleet The fleet.
  * @param worker The worker.
- * @param random Source of the time for which it is gone. */
-export async function crashForAWhile(
+ * @param random Source of randomness. */
+export async function crashAndReplace(
   fleet: SoakFleet,
   worker: SoakWorker,
   random: Random,
 ): Promise<void> {
   if (!fleet.workers.includes(worker)) return;
   const window = fleet.faults.begin("crashed by a request", [worker.id]);
-  fleet.forgetWorker(worker);
+  fleet.excludeFromFaults(worker);
   await worker.crash();
   await worker.proxy.stopListening();
-  const lapsing = delay(ENTRY_LAPSES_MS).then(() =>
+  const entryRemoval = delay(ENTRY_TTL_MS).then(() =>
     fleet.store.remove(`servers/${worker.id}`)
   );
-  await delay(random.integer(...GONE_MS));
+  await delay(random.integer(...DOWNTIME_RANGE_MS));
   await fleet.addWorker(worker.service, worker.proxy);
   await worker.proxy.resumeListening();
-  await lapsing;
+  await entryRemoval;
   fleet.faults.end(window);
 }
 
-/** Finds requests that reached too many workers after three had ended under them.
- * @param evidence What was seen. */
-export function judgeCrashingRequests({ runs }: Evidence): string[] {
+/** Finds crashing requests that reached too many workers after they had crashed three.
+ * @param evidence What callers, workers and the store saw. */
+export function checkCrashingRequests({ runs }: Evidence): string[] {
   const crashing = runs.filter((run) => isCrashingPath(run.path));
   const paths = [...new Set(crashing.map((run) => run.path))];
   return paths.flatMap((path) => {
     const times = crashing.filter((run) => run.path === path)
       .map((run) => run.startedAt).sort((a, b) => a - b);
-    const third = times[2] ?? Infinity;
-    const late = times.filter((at) => at > third + HEARD_WITHIN_MS);
-    return late.length > LATE_TRIES
+    const thirdAt = times[2] ?? Infinity;
+    const late = times.filter((at) => at > thirdAt + DETECTION_MS);
+    return late.length > MAX_LATE_RUNS
       ? [`${path} reached ${late.length} workers after three had ended`]
       : [];
   });
 }
 
-/** What crashing requests did, for the summary of a run. */
+/** Summary of the crashing requests of a run. */
 export interface CrashSummary {
-  /** Requests that crash workers. */
+  /** Number of distinct crashing requests. */
   requests: number;
-  /** Workers that they crashed. */
+  /** Number of workers that they crashed. */
   crashes: number;
-  /** Tries of other requests that were refused as if they crashed workers. */
+  /** Number of attempts of other requests that were refused as crashing requests. */
   innocentRefused: number;
 }
 
-/** Counts what crashing requests did.
- * @param attempts What callers saw.
- * @param runs What workers ran. */
+/** Summarizes the crashing requests of a run.
+ * @param attempts Attempts of callers.
+ * @param runs Runs of workers. */
 export function summarizeCrashes(
   attempts: readonly CallerAttempt[],
   runs: Evidence["runs"],
 ): CrashSummary {
   const isCrashing = ({ path }: { path: string }) => isCrashingPath(path);
-  const held = attempts.filter((attempt) =>
+  const refused = attempts.filter((attempt) =>
     attempt.text.includes('"kind":"crashes_upstreams"')
   );
   return {
     requests: new Set(attempts.filter(isCrashing).map(({ path }) => path)).size,
     crashes: runs.filter(isCrashing).length,
-    innocentRefused: held.filter((attempt) => !isCrashing(attempt)).length,
+    innocentRefused: refused.filter((attempt) => !isCrashing(attempt)).length,
   };
 }
--- a/soak/evidence.ts
+++ b/soak/evidence.ts
@@ -3,36 +3,36 @@
 import type { WorkerDecline } from "./worker_decline.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
-/** A version of the configuration, and when the store took it. */
+/** A version of the configuration and the time at which it was published. */
 export interface PublishedVersion {
   version: number;
-  /** Key that only this version holds. */
+  /** API key that only this version contains. */
   key: string;
   at: number;
 }
 
-/** A worker's word that it leaves, and when the store took it. */
-export interface Leaving {
+/** A worker's announcement in the store that it leaves, and its time. An entry that became invalid counts as one. */
+export interface LeaveAnnouncement {
   worker: string;
   at: number;
 }
 
 /** A planned stop of a gateway. */
-export interface Stop {
+export interface PlannedStop {
   gateway: string;
   life: number;
   at: number;
 }
 
-/** Everything that callers, workers and the store saw in one run. */
+/** Observations of callers, workers and the store in one run, which the checks of invariants work on. */
 export interface Evidence {
   attempts: readonly CallerAttempt[];
   runs: readonly WorkerRun[];
   declines: readonly WorkerDecline[];
   versions: readonly PublishedVersion[];
-  leavings: readonly Leaving[];
-  stops: readonly Stop[];
+  leaveAnnouncements: readonly LeaveAnnouncement[];
+  plannedStops: readonly PlannedStop[];
   faults: FaultLog;
-  /** Longest time for which the soak's own process did not run, in milliseconds. */
+  /** Longest event loop delay of the soak process, in milliseconds. */
   lagMs: number;
 }
--- a/soak/fault_log.ts
+++ b/soak/fault_log.ts
@@ -1,17 +1,18 @@
-/** What a fault is about, and whether operators planned it. */
+/** An injected fault with its targets and its time window. */
 export interface FaultWindow {
   name: string;
-  /** Gateways or workers that it hits, or `store`. */
+  /** Ids of the affected gateways or workers, or `store`. */
   targets: readonly string[];
+  /** Whether it is a planned operation, which does not excuse failures. */
   isPlanned: boolean;
   from: number;
-  /** Undefined while it goes on. */
+  /** Undefined while the fault lasts. */
   to: number | undefined;
 }
 
-/** The faults of one run with their times, in monotonic milliseconds. */
+/** Log of the faults of one run, with times in monotonic milliseconds. */
 export class FaultLog {
-  /** All faults so far. */
+  /** Windows of all faults so far. */
   readonly windows: FaultWindow[] = [];
 
   private constructor() {}
@@ -21,10 +22,10 @@
     return new FaultLog();
   }
 
-  /** Notes that a fault begins; the window is closed by `end`.
-   * @param name What is done.
-   * @param targets What it hits.
-   * @param isPlanned Whether operators planned it. */
+  /** Records the start of a fault. Returns its window, to be closed with `end`.
+   * @param name Name of the fault.
+   * @param targets Ids of the affected gateways or workers, or `store`.
+   * @param isPlanned Whether it is a planned operation. */
   begin(
     name: string,
     targets: readonly string[],
@@ -36,16 +37,16 @@
     return window;
   }
 
-  /** Notes that a fault is over.
-   * @param window The fault. */
+  /** Records the end of a fault.
+   * @param window Window of the fault. */
   end(window: FaultWindow): void {
     window.to = performance.now();
   }
 
-  /** Whether a fault that nobody planned hit a target within a time.
-   * @param target A gateway, a worker or `store`.
-   * @param from Its begin.
-   * @param to Its end. */
+  /** Whether an unplanned fault affected a target within an interval.
+   * @param target Id of a gateway or worker, or `store`.
+   * @param from Start of the interval.
+   * @param to End of the interval. */
   wasHit(target: string, from: number, to: number): boolean {
     return this.windows.some((window) =>
       !window.isPlanned && window.targets.includes(target) &&
--- a/soak/gateway_process.ts
+++ b/soak/gateway_process.ts
@@ -3,50 +3,49 @@
 import { ProgramProcess } from "../tools/program_process.ts";
 import { BOUNDS } from "./bounds.ts";
 
-/** Ports of a gateway on the address of its own. */
+/** Ports of a gateway on its own loopback address. */
 const PORTS = { caller: 8_101, ready: 8_102, peer: 8_103, locate: 8_104 };
-/** Port of the metrics, as the deploy file names it. */
+/** Port of the metrics, as set in the deploy file. */
 const METRICS_PORT = 9_464;
-/** First and last port for what gateways tell each other. */
+/** First and last port of the gossip between gateways. */
 const GOSSIP_PORTS = "8110,8119";
-/** The bounds as a settings file names them, with one that gateways do not know yet. */
-const BOUND_FIELDS = {
+/** Bounds in the form of the settings file, with one unknown field, which gateways must ignore. */
+const BOUND_SETTINGS = {
   "bounds.drain_ms": BOUNDS.leaveWithinMs,
   "bounds.grace_s": BOUNDS.stopWithinMs / 1_000,
-  "bounds.revoke_ms": BOUNDS.keyBeliefMs,
+  "bounds.revoke_ms": BOUNDS.revokeWithinMs,
   "bounds.retry_ratio": BOUNDS.retryRatio,
   "bounds.retry_window_s": BOUNDS.retryWindowMs / 1_000,
   "bounds.retry_extra": BOUNDS.retryExtra,
   "bounds.a_later_field": "skipped",
 };
 
-/** What a gateway is started with. */
+/** Options of a gateway process. */
 export interface GatewayProcessOptions {
   id: string;
-  /** Loopback address of its own. */
+  /** Loopback address that only this gateway uses. */
   ip: string;
-  /** Loopback addresses of the gateways it knows at first. */
+  /** Loopback addresses of the gateways through which it joins the others. */
   seeds: readonly string[];
   /** Port of the store. */
   storePort: number;
-  /** Folder for its settings file. */
+  /** Directory of its settings file. */
   folder: string;
-  /** The program and its first arguments. */
+  /** Command and its first arguments. */
   program: readonly [string, ...string[]];
 }
 
-/** A gateway as a process of its own, which reaches the store through a proxy. */
+/** A gateway in a separate process, which reaches the store through a fault-injecting proxy. */
 export class GatewayProcess {
   private constructor(
     private readonly options: GatewayProcessOptions,
-    /** The way to the store. */
+    /** Proxy between the gateway and the store. */
     readonly storeProxy: FaultProxy,
-    /** The process. */
     readonly program: ProgramProcess,
   ) {}
 
   /** Starts a gateway.
-   * @param options What it is started with. */
+   * @param options Options of the gateway. */
   static async create(options: GatewayProcessOptions): Promise<GatewayProcess> {
     const storeProxy = await FaultProxy.create(options.storePort);
     const path = getSettingsPath(options);
@@ -60,28 +59,28 @@
     return new GatewayProcess(options, storeProxy, program);
   }
 
-  /** Its name. */
+  /** Id of the gateway. */
   get id(): string {
     return this.options.id;
   }
 
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   get callerAddress(): string {
     return `${this.options.ip}:${PORTS.caller}`;
   }
 
-  /** Where callers ask which addresses to use. */
+  /** Address of the lookup service that tells callers which gateways to use. */
   get locateAddress(): string {
     return `${this.options.ip}:${PORTS.locate}`;
   }
 
-  /** Where its counters are served. */
+  /** Address at which metrics are served. */
   get metricsAddress(): string {
     return `${this.options.ip}:${METRICS_PORT}`;
   }
 
-  /** Writes its settings anew, as the platform does before a SIGHUP and before another start.
-   * @param seeds Loopback addresses of the gateways it is to know. */
+  /** Rewrites the settings file, as the platform does before a SIGHUP and before a restart.
+   * @param seeds Loopback addresses of the gateways through which it joins the others. */
   rewriteSettings(seeds: readonly string[]): void {
     const options = { ...this.options, seeds };
     writeSettings(options, this.storeProxy.port, false);
@@ -104,10 +103,10 @@
   isFirstStart: boolean,
 ): void {
   const fields = {
-    ...describeHost(options),
+    ...buildHostSettings(options),
     bootstrap: isFirstStart,
     "platform.address": `127.0.0.1:${storePort}`,
-    ...BOUND_FIELDS,
+    ...BOUND_SETTINGS,
   };
   const lines = Object.entries(fields).map(([name, value]) =>
     `${name}=${value}\n`
@@ -115,7 +114,7 @@
   writeFileSync(getSettingsPath(options), lines.join(""));
 }
 
-function describeHost({ id, ip, seeds }: GatewayProcessOptions) {
+function buildHostSettings({ id, ip, seeds }: GatewayProcessOptions) {
   return {
     node_name: id,
     ip,
--- a/soak/regression_seeds.ts
+++ b/soak/regression_seeds.ts
@@ -1,16 +1,16 @@
-/** A seed that once found a broken promise, and is run again in CI. */
+/** A seed that found a fault and is run in CI as a regression test. */
 export interface RegressionSeed {
   seed: number;
-  /** Time in which faults begin, in seconds. */
+  /** Time during which faults are injected, in seconds. */
   seconds: number;
-  /** The faults among which the seed drew; another list would give another run. */
+  /** Faults that the seed draws from; a different list would give a different run. */
   faults: readonly string[];
-  /** What was wrong. */
+  /** Cause of the failure, printed in the title of the test. */
   cause: string;
 }
 
-/** The faults that there were when the first seeds failed, in their order. */
-export const FIRST_FAULTS: readonly string[] = [
+/** Faults that existed when the first seeds failed. The order determines what a seed draws. */
+export const INITIAL_FAULTS: readonly string[] = [
   "killGateway",
   "killManyGateways",
   "stopGateway",
@@ -26,15 +26,15 @@
   "changeConfiguration",
 ];
 
-/** The faults that there were then, and those of workers that start again. */
-const LATER_FAULTS: readonly string[] = [
-  ...FIRST_FAULTS,
+/** The initial faults, with crashing requests, restarts of workers and invalid entries. */
+const EXTENDED_FAULTS: readonly string[] = [
+  ...INITIAL_FAULTS,
   "sendCrashingRequest",
   "restartWorker",
   "spoilEntry",
 ];
 
-/** Faults of workers that say whether they take requests. */
+/** Faults of workers that announce their availability, and those combined with them. */
 export const AVAILABILITY_FAULTS: readonly string[] = [
   "turnAway",
   "leaveByAnswers",
@@ -42,12 +42,12 @@
   "restartWorker",
 ];
 
-/** Seeds that failed. */
+/** Seeds that once failed. */
 export const REGRESSION_SEEDS: readonly RegressionSeed[] = [
   {
     seed: 5,
     seconds: 20,
-    faults: FIRST_FAULTS,
+    faults: INITIAL_FAULTS,
     cause:
       "a second SIGTERM ended a gateway that was stopping; and two faults of the stand-ins: the proxy passed resets on " +
       "as plain ends, and a worker sent surplus bytes after an answer without a length",
@@ -55,7 +55,7 @@
   {
     seed: 8019,
     seconds: 12,
-    faults: LATER_FAULTS,
+    faults: EXTENDED_FAULTS,
     cause:
       "a fault of the stand-ins: bytes that the proxy passed after a delay had ended overtook those that it still held up",
   },
--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -2,64 +2,67 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { Random } from "../src/random/random.ts";
 import type { Evidence } from "./evidence.ts";
-import { ANSWER_JUDGES } from "./judge_answers.ts";
-import { TIME_JUDGES } from "./judge_times.ts";
+import { ANSWER_INVARIANTS } from "./answer_invariants.ts";
+import { TIMING_INVARIANTS } from "./timing_invariants.ts";
 import { describeResult, type SeedResult } from "./seed_result.ts";
 import { SoakCaller } from "./soak_caller.ts";
 import { SOAK_FAULTS } from "./soak_faults.ts";
 import { SoakFleet } from "./soak_fleet.ts";
 
-/** What one run is made of. */
+/** Options of one run. */
 export interface SeedOptions {
   seed: number;
-  /** Time in which faults begin, in milliseconds. */
+  /** Time during which faults are injected, in milliseconds. */
   faultsMs: number;
-  /** Whether promises about time are judged too; not beside other load. */
-  judgesTimes: boolean;
-  /** Gateways, workers and callers, as a multiple of the usual. */
+  /** Whether the invariants about timing are checked too, which needs a machine without other load. */
+  checksTiming: boolean;
+  /** Factor on the base numbers of gateways, workers and callers. */
   size: number;
-  /** Faults that may come; all where none are named. */
+  /** Names of the faults to inject; all faults if empty. */
   faults: readonly string[];
 }
 
-/** Fault streams that run side by side, so that faults meet. */
+/** Number of concurrent fault streams, so that faults overlap. */
 const FAULT_STREAMS = 3;
 /** Longest pause of a stream between two faults, in milliseconds. */
 const FAULT_PAUSE_MS = 900;
-/** Usual sizes. */
-const USUAL = { gateways: 4, engines: 4, plain: 3, callers: 14 };
+/** Numbers of gateways, workers and callers in a run of size 1. */
+const BASE_SIZE = { gateways: 4, engines: 4, plain: 3, callers: 14 };
 /** Longest pause of a caller between two requests, in milliseconds. */
 const CALLER_PAUSE_MS = 90;
-/** Longest such pause in a burst, in milliseconds. */
+/** Longest pause of a caller between two requests during a burst, in milliseconds. */
 const BURST_PAUSE_MS = 8;
-/** Time from the begin of one burst to that of the next, in milliseconds. */
+/** Time from the start of one burst to the start of the next, in milliseconds. */
 const BURST_PERIOD_MS = 6_000;
-/** Length of a burst, in milliseconds. */
+/** Duration of a burst, in milliseconds. */
 const BURST_MS = 900;
-/** Time after the last fault in which the fleet has to come to serve again, in milliseconds. */
-const SETTLE_MS = 12_000;
-/** Pause after a calm request that was not served, in milliseconds. */
-const SETTLE_STEP_MS = 200;
-/** Calm requests of a kind in a row that show that it does. */
-const CALM_REQUESTS = 8;
+/** Time after the last fault within which the fleet must serve again, in milliseconds. */
+const RECOVERY_TIMEOUT_MS = 12_000;
+/** Pause after a recovery request that was not served, in milliseconds. */
+const RECOVERY_RETRY_MS = 200;
+/** Consecutive rounds of successful requests that show that the fleet has recovered. */
+const REQUIRED_SUCCESSES = 8;
 
-/** Runs a fleet under random faults, and judges what callers and workers saw.
- * @param options What the run is made of. */
+/** Runs a fleet under random faults and checks the invariants on what callers and workers saw.
+ * @param options Options of the run. */
 export async function runSeed(options: SeedOptions): Promise<SeedResult> {
   const fleet = await SoakFleet.create({
     seed: options.seed,
-    gateways: USUAL.gateways * options.size,
-    engines: USUAL.engines * options.size,
-    plain: USUAL.plain * options.size,
+    gateways: BASE_SIZE.gateways * options.size,
+    engines: BASE_SIZE.engines * options.size,
+    plain: BASE_SIZE.plain * options.size,
   });
   const lag = monitorEventLoopDelay();
   lag.enable();
   try {
     const random = Random.create(options.seed);
     await runFaults(fleet, random, options);
-    const unsettled = await settle(fleet, random);
+    const unrecovered = await waitForRecovery(fleet, random);
     const evidence = { ...fleet, lagMs: lag.max / 1e6 };
-    const breaches = [...unsettled, ...judge(evidence, options.judgesTimes)];
+    const breaches = [
+      ...unrecovered,
+      ...checkInvariants(evidence, options.checksTiming),
+    ];
     return describeResult(options.seed, fleet, evidence, breaches);
   } finally {
     lag.disable();
@@ -78,7 +81,7 @@
   const endsAt = performance.now() + options.faultsMs;
   const streams = Array.from(
     { length: FAULT_STREAMS },
-    () => runStream(fleet, random.fork(), endsAt, options.faults),
+    () => runFaultStream(fleet, random.fork(), endsAt, options.faults),
   );
   await Promise.all(streams);
   isOver = true;
@@ -90,10 +93,10 @@
   random: Random,
   { seed, size }: SeedOptions,
 ): SoakCaller[] {
-  return Array.from({ length: USUAL.callers * size }, (_, index) => {
+  return Array.from({ length: BASE_SIZE.callers * size }, (_, index) => {
     const name = `s${seed}-c${index}`;
-    const isStubborn = index % 2 === 0;
-    return SoakCaller.create(name, fleet, random.fork(), isStubborn);
+    const reusesConnections = index % 2 === 0;
+    return SoakCaller.create(name, fleet, random.fork(), reusesConnections);
   });
 }
 
@@ -102,7 +105,7 @@
   return isBurst ? BURST_PAUSE_MS : CALLER_PAUSE_MS;
 }
 
-async function runStream(
+async function runFaultStream(
   fleet: SoakFleet,
   random: Random,
   endsAt: number,
@@ -116,28 +119,31 @@
   }
 }
 
-/** Waits until calm requests of each kind are served; returns a line where they are not in time. */
-async function settle(
+/** Waits until a plain request and a stream are served several times in a row. Returns a line if they aren't in time. */
+async function waitForRecovery(
   fleet: SoakFleet,
   random: Random,
 ): Promise<string[]> {
   const caller = SoakCaller.create("settle", fleet, random, false);
-  const endsAt = performance.now() + SETTLE_MS;
-  let inRow = 0;
-  while (inRow < CALM_REQUESTS) {
+  const endsAt = performance.now() + RECOVERY_TIMEOUT_MS;
+  let successes = 0;
+  while (successes < REQUIRED_SUCCESSES) {
     if (performance.now() > endsAt) return ["the fleet does not serve again"];
     const look = await caller.sendCalmly("look");
     const chat = await caller.sendCalmly("chat");
     const isServed = look?.status === 200 && chat?.isWhole === true;
-    inRow = isServed ? inRow + 1 : 0;
-    if (!isServed) await delay(SETTLE_STEP_MS);
+    successes = isServed ? successes + 1 : 0;
+    if (!isServed) await delay(RECOVERY_RETRY_MS);
   }
   return [];
 }
 
-function judge(evidence: Evidence, judgesTimes: boolean): string[] {
-  const judges = { ...ANSWER_JUDGES, ...(judgesTimes ? TIME_JUDGES : {}) };
-  return Object.entries(judges).flatMap(([promise, find]) =>
-    find(evidence).map((breach) => `${promise}: ${breach}`)
+function checkInvariants(evidence: Evidence, checksTiming: boolean): string[] {
+  const checks = {
+    ...ANSWER_INVARIANTS,
+    ...(checksTiming ? TIMING_INVARIANTS : {}),
+  };
+  return Object.entries(checks).flatMap(([invariant, check]) =>
+    check(evidence).map((breach) => `${invariant}: ${breach}`)
   );
 }
--- a/soak/seed_result.ts
+++ b/soak/seed_result.ts
@@ -3,28 +3,28 @@
 import type { Evidence } from "./evidence.ts";
 import type { SoakFleet } from "./soak_fleet.ts";
 
-/** How one run ended. */
+/** Result of one run. */
 export interface SeedResult {
   seed: number;
-  /** Breaches of promises, a line each. */
+  /** Breaches of invariants, one line each. */
   breaches: string[];
   attempts: number;
-  /** How many requests of each kind ended in which way. */
+  /** Number of attempts by kind and outcome. */
   endings: Record<string, number>;
-  /** What requests that crash workers did. */
+  /** Summary of the crashing requests. */
   crashes: CrashSummary;
   faults: string[];
-  /** The requests that breaches name, as callers and workers saw them. */
+  /** Attempts and runs of the requests named in breaches. */
   evidence: unknown[];
-  /** What each gateway logged. */
+  /** Log lines of each gateway, by its id. */
   logs: Record<string, readonly string[]>;
 }
 
-/** Describes how a run ended.
- * @param seed Its seed.
- * @param fleet Its fleet.
- * @param evidence What was seen.
- * @param breaches Breaches of promises, a line each. */
+/** Builds the result of a run.
+ * @param seed Seed of the run.
+ * @param fleet Fleet of the run.
+ * @param evidence What callers, workers and the store saw.
+ * @param breaches Breaches of invariants, one line each. */
 export function describeResult(
   seed: number,
   fleet: SoakFleet,
@@ -42,7 +42,7 @@
       `${Math.round(from)}-${Math.round(to ?? Infinity)} ${name} ${targets}`
     ),
     evidence: [...attempts, ...runs].filter(({ requestId }) =>
-      isNamed(requestId, breaches)
+      isMentioned(requestId, breaches)
     ),
     logs: Object.fromEntries(
       fleet.gateways.map((gateway) => [gateway.id, gateway.program.log]),
@@ -61,7 +61,7 @@
   return endings;
 }
 
-function isNamed(requestId: string, breaches: readonly string[]): boolean {
+function isMentioned(requestId: string, breaches: readonly string[]): boolean {
   return breaches.some((breach) =>
     breach.includes(`${requestId}:`) || breach.includes(`${requestId} `)
   );
--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: runs seeds of random faults one after the other and prints what each found. */
+/** `npm run soak`: runs seeds of random faults one after the other and prints the result of each. */
 import { mkdirSync, writeFileSync } from "node:fs";
 import process from "node:process";
 import {
@@ -14,13 +14,13 @@
 import { runSeed } from "./run_seed.ts";
 import type { SeedResult } from "./seed_result.ts";
 
-/** Folder for the logs of seeds that failed. */
-const REPORTS = "reports/soak";
+/** Directory for the reports of seeds that failed. */
+const REPORT_FOLDER = "reports/soak";
 
 const soakCommand = command({
   name: "soak",
   description:
-    "Runs gateways as processes under random faults and judges what callers and workers saw.",
+    "Runs gateways as processes under random faults and checks the invariants on what callers and workers saw.",
   args: {
     seed: option({ long: "seed", type: number, defaultValue: () => 1 }),
     seeds: option({ long: "seeds", type: number, defaultValue: () => 1 }),
@@ -29,7 +29,8 @@
     faults: multioption({ long: "fault", type: array(string) }),
     withoutTimes: flag({
       long: "without-times",
-      description: "Leaves out the promises about time, beside other load.",
+      description:
+        "Skips the invariants about timing, for a machine with other load.",
     }),
   },
   handler: async (args) => {
@@ -38,23 +39,23 @@
       const result = await runSeed({
         seed,
         faultsMs: args.seconds * 1_000,
-        judgesTimes: !args.withoutTimes,
+        checksTiming: !args.withoutTimes,
         size: args.size,
         faults: args.faults,
       });
-      print(result);
+      printResult(result);
       if (result.breaches.length === 0) continue;
       failed += 1;
-      keep(result);
+      writeReport(result);
     }
     console.log(
-      `${args.seeds - failed} seeds kept all promises, ${failed} did not`,
+      `${args.seeds - failed} seeds kept all invariants, ${failed} did not`,
     );
     process.exit(failed === 0 ? 0 : 1);
   },
 });
 
-function print(result: SeedResult): void {
+function printResult(result: SeedResult): void {
   const { seed, attempts, endings, faults, crashes, breaches } = result;
   console.log(
     `seed ${seed}: ${attempts} requests, ${faults.length} faults, ${breaches.length} breaches`,
@@ -64,16 +65,16 @@
   );
   console.log(`  ${counts.join(", ")}`);
   console.log(
-    `  ${crashes.requests} crashing requests ended ${crashes.crashes} workers; ${crashes.innocentRefused} tries of others were refused like them`,
+    `  ${crashes.requests} crashing requests crashed ${crashes.crashes} workers; ${crashes.innocentRefused} attempts of other requests were refused as crashing`,
   );
   for (const breach of breaches.slice(0, 12)) console.log(`  ${breach}`);
 }
 
-function keep(result: SeedResult): void {
-  mkdirSync(REPORTS, { recursive: true });
-  const path = `${REPORTS}/seed-${result.seed}.json`;
+function writeReport(result: SeedResult): void {
+  mkdirSync(REPORT_FOLDER, { recursive: true });
+  const path = `${REPORT_FOLDER}/seed-${result.seed}.json`;
   writeFileSync(path, JSON.stringify(result, undefined, 1));
-  console.log(`  kept in ${path}`);
+  console.log(`  report written to ${path}`);
 }
 
 await run(soakCommand, process.argv.slice(2));
--- a/soak/soak_caller.ts
+++ b/soak/soak_caller.ts
@@ -10,7 +10,7 @@
 import type { GatewayProcess } from "./gateway_process.ts";
 import { HOST, LASTING_KEY, locate, type SoakFleet } from "./soak_fleet.ts";
 
-/** Kinds in the proportions in which callers send them. */
+/** Kinds of request, each repeated in proportion to how often callers send it. */
 const KINDS: readonly RequestKind[] = [
   "look",
   "look",
@@ -21,129 +21,134 @@
   "talk",
   "version",
 ];
-/** Time for which a caller keeps an answer with addresses, in milliseconds. */
-const KEEP_ADDRESSES_MS = 500;
-/** Part of the requests that carry the key of the newest version. */
+/** Time for which a caller caches the located addresses, in milliseconds. */
+const ADDRESS_TTL_MS = 500;
+/** Share of the requests that carry the key of the newest version. */
 const NEW_KEY_SHARE = 0.3;
-/** Part of the requests that callers give up. */
+/** Share of the requests that callers give up on. */
 const GIVE_UP_SHARE = 0.06;
-/** Least and most time after which a caller gives up, in milliseconds. */
-const GIVE_UP_MS = [5, 250] as const;
-/** Most time that a caller waits beyond a route's time-out, in milliseconds. */
-const PATIENCE_MS = 4_000;
-/** Chats that callers return to. */
-const CHATS = 24;
-/** Time for a connection to a gateway, in milliseconds. */
+/** Range of the time after which a caller gives up, in milliseconds. */
+const GIVE_UP_RANGE_MS = [5, 250] as const;
+/** Time that a caller waits for an answer beyond the route's timeout, in milliseconds. */
+const ANSWER_MARGIN_MS = 4_000;
+/** Number of chats that callers return to. */
+const CHAT_COUNT = 24;
+/** Timeout for connecting to a gateway, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** One caller: sends one request after the other and keeps its connections. */
+/** A caller that sends one request at a time and keeps its connections open. */
 export class SoakCaller {
   private readonly clients = new Map<string, Client>();
   private addresses: string[] = [];
-  private askedAt = -Infinity;
+  private locatedAt = -Infinity;
   private count = 0;
 
   private constructor(
     private readonly name: string,
     private readonly fleet: SoakFleet,
     private readonly random: Random,
-    private readonly isStubborn: boolean,
+    private readonly reusesConnections: boolean,
   ) {}
 
   /** Creates a caller.
-   * @param name Its name, the beginning of its requests' ids.
+   * @param name Name of the caller and prefix of its request ids.
    * @param fleet The fleet.
-   * @param random Source of its requests.
-   * @param isStubborn Whether it uses open connections until the process is gone, rather than until it is no longer
-   * named. */
+   * @param random Source of randomness.
+   * @param reusesConnections Whether it uses open connections until they close, rather than until the lookup no longer
+   * returns the gateway. */
   static create(
     name: string,
     fleet: SoakFleet,
     random: Random,
-    isStubborn: boolean,
+    reusesConnections: boolean,
   ): SoakCaller {
-    return new SoakCaller(name, fleet, random, isStubborn);
+    return new SoakCaller(name, fleet, random, reusesConnections);
   }
 
-  /** Sends requests until it is told to stop.
-   * @param isOver Whether to stop.
-   * @param getPauseMs Longest pause between two requests, in milliseconds. */
+  /** Sends random requests until told to stop, then closes the connections.
+   * @param isOver Returns whether to stop.
+   * @param getPauseMs Returns the longest pause before the next request, in milliseconds. */
   async run(isOver: () => boolean, getPauseMs: () => number): Promise<void> {
     while (!isOver()) {
-      await this.sendOne();
+      await this.sendRandom();
       await delay(this.random.integer(1, getPauseMs()));
     }
     await this.close();
   }
 
-  /** Closes its connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     for (const client of this.clients.values()) await client.destroy();
   }
 
-  /** Sends a request that is the same for each call with the same name, but for its id.
-   * @param kind The kind.
-   * @param name The last part of its path, and its body. */
-  async sendAs(kind: RequestKind, name: string): Promise<void> {
+  /** Sends a request with a given name. Requests with the same kind and name share their path and body.
+   * @param kind Kind of the request.
+   * @param name Last path segment, and body of a request that has one. */
+  async sendNamed(kind: RequestKind, name: string): Promise<void> {
     const gateway = await this.chooseGateway();
     if (!gateway) return;
-    const attempt = this.build(kind, LASTING_KEY, gateway);
+    const attempt = this.buildAttempt(kind, LASTING_KEY, gateway);
     attempt.path = `/${kind}/${name}`;
     if (attempt.body !== "") attempt.body = name;
     await this.send(attempt, gateway, undefined);
   }
 
-  /** Sends one request of a kind with the key that lasts, and does not give it up; returns the attempt.
-   * @param kind The kind. */
+  /** Sends one request with the permanent key, without giving up early. Returns the attempt, or undefined if no gateway
+   * is known.
+   * @param kind Kind of the request. */
   async sendCalmly(kind: RequestKind): Promise<CallerAttempt | undefined> {
     const gateway = await this.chooseGateway();
     if (!gateway) return undefined;
-    const attempt = this.build(kind, LASTING_KEY, gateway);
+    const attempt = this.buildAttempt(kind, LASTING_KEY, gateway);
     await this.send(attempt, gateway, undefined);
     return attempt;
   }
 
-  private async sendOne(): Promise<void> {
+  private async sendRandom(): Promise<void> {
     const gateway = await this.chooseGateway();
     if (!gateway) return;
     const kind = this.random.pick(KINDS);
     const hasNewKey = this.random.fraction() < NEW_KEY_SHARE;
     const key = hasNewKey ? this.fleet.newest.key : LASTING_KEY;
     const givesUp = this.random.fraction() < GIVE_UP_SHARE;
-    const giveUpMs = givesUp ? this.random.integer(...GIVE_UP_MS) : undefined;
-    const attempt = this.build(kind, key, gateway);
+    const giveUpMs = givesUp
+      ? this.random.integer(...GIVE_UP_RANGE_MS)
+      : undefined;
+    const attempt = this.buildAttempt(kind, key, gateway);
     await this.send(attempt, gateway, giveUpMs);
     const resumes = kind === "chat" && !attempt.isWhole && !givesUp;
     if (resumes && attempt.status === 200) await this.resume(attempt);
   }
 
-  /** Goes on with a broken stream at another gateway, as a request with an id of its own. */
+  /** Resumes a broken stream through a newly chosen gateway, as a request with a new id. */
   private async resume(broken: CallerAttempt): Promise<void> {
     const gateway = await this.chooseGateway();
     if (!gateway) return;
-    const attempt = this.build("chat", broken.key, gateway);
+    const attempt = this.buildAttempt("chat", broken.key, gateway);
     attempt.path = broken.path;
     attempt.afterEvent = getLastEvent(broken);
     if (attempt.afterEvent > 0) await this.send(attempt, gateway, undefined);
   }
 
   private async chooseGateway(): Promise<GatewayProcess | undefined> {
-    if (performance.now() - this.askedAt > KEEP_ADDRESSES_MS) {
-      this.askedAt = performance.now();
-      const asked = await locate(this.random.pick(this.fleet.gateways));
-      if (asked.length > 0) this.addresses = asked;
+    if (performance.now() - this.locatedAt > ADDRESS_TTL_MS) {
+      this.locatedAt = performance.now();
+      const located = await locate(this.random.pick(this.fleet.gateways));
+      if (located.length > 0) this.addresses = located;
     }
-    const named = this.fleet.gateways.filter((gateway) =>
+    const advertised = this.fleet.gateways.filter((gateway) =>
       this.addresses.includes(gateway.callerAddress)
     );
-    const open = this.fleet.gateways.filter((gateway) =>
+    const connected = this.fleet.gateways.filter((gateway) =>
       this.clients.has(gateway.callerAddress)
     );
-    const usable = this.isStubborn ? [...named, ...open] : named;
+    const usable = this.reusesConnections
+      ? [...advertised, ...connected]
+      : advertised;
     return usable.length === 0 ? undefined : this.random.pick(usable);
   }
 
-  private build(
+  private buildAttempt(
     kind: RequestKind,
     key: string,
     gateway: GatewayProcess,
@@ -152,7 +157,7 @@
     const requestId = `${this.name}-${this.count}`;
     const { version } = this.fleet.newest;
     const { isStream, method } = KIND_RULES[kind];
-    const chat = this.random.integer(1, CHATS);
+    const chat = this.random.integer(1, CHAT_COUNT);
     return {
       ...NO_ANSWER,
       requestId,
@@ -177,16 +182,16 @@
     const client = this.getClient(gateway.callerAddress);
     this.fleet.attempts.push(attempt);
     const { timeoutMs } = KIND_RULES[attempt.kind];
-    const patienceMs = giveUpMs ?? timeoutMs + PATIENCE_MS;
+    const limitMs = giveUpMs ?? timeoutMs + ANSWER_MARGIN_MS;
     const timer = setTimeout(() => {
       attempt.gaveUpAt = performance.now();
-      this.drop(gateway.callerAddress, client);
-    }, patienceMs);
+      this.closeClient(gateway.callerAddress, client);
+    }, limitMs);
     try {
       await exchange(attempt, client);
     } catch {
-      // A broken answer is what the judges look at; nothing more is known of it than the attempt holds.
-      this.drop(gateway.callerAddress, client);
+      // The checks evaluate broken answers from what the attempt holds, so the error itself adds nothing.
+      this.closeClient(gateway.callerAddress, client);
     } finally {
       clearTimeout(timer);
       attempt.endedAt = performance.now();
@@ -201,18 +206,18 @@
       bodyTimeout: 0,
       connect: { timeout: CONNECT_TIMEOUT_MS },
     });
-    client.on("disconnect", () => this.drop(address, client));
+    client.on("disconnect", () => this.closeClient(address, client));
     this.clients.set(address, client);
     return client;
   }
 
-  private drop(address: string, client: Client): void {
+  private closeClient(address: string, client: Client): void {
     if (this.clients.get(address) === client) this.clients.delete(address);
     void client.destroy();
   }
 }
 
-/** Sends a request and takes its answer into the attempt, as far as it comes. */
+/** Sends a request and records in the attempt as much of the answer as arrives. */
 async function exchange(attempt: CallerAttempt, client: Client): Promise<void> {
   const { method, timeoutMs } = KIND_RULES[attempt.kind];
   const answer = await client.request({
@@ -237,7 +242,7 @@
   return kind === "look" ? `/look/${requestId}?a=1` : `/${kind}/${requestId}`;
 }
 
-/** Number of the last whole event that an attempt brought, 0 where it brought none. */
+/** Number of the last complete event that an attempt received; 0 if it received none. */
 function getLastEvent(attempt: CallerAttempt): number {
   const whole = attempt.text.split("\n\n").length - 1;
   return whole === 0 ? 0 : attempt.afterEvent + whole;
--- a/soak/soak_faults.ts
+++ b/soak/soak_faults.ts
@@ -1,25 +1,25 @@
 import { setTimeout as delay } from "node:timers/promises";
 import type { ProxyMode } from "../fakes/fault_proxy.ts";
 import type { Random } from "../src/random/random.ts";
-import { leaveByAnswers, mayGo, turnAway } from "./availability.ts";
-import { AFTERMATH_MS, BOUNDS, LINGER_MS } from "./bounds.ts";
-import { ENTRY_LAPSES_MS, sendCrashingRequest } from "./crashing_requests.ts";
+import { isRemovable, leaveByAnswers, turnAway } from "./availability.ts";
+import { BOUNDS, FAULT_RECOVERY_MS, WORKER_DRAIN_MS } from "./bounds.ts";
+import { ENTRY_TTL_MS, sendCrashingRequest } from "./crashing_requests.ts";
 import type { GatewayProcess } from "./gateway_process.ts";
 import type { SoakFleet } from "./soak_fleet.ts";
 import type { WorkerFault } from "./soak_worker.ts";
 
-/** Injects one fault and takes it back; ends when it is over. */
+/** Injects one fault, reverts it, and resolves when it is over. */
 export type SoakFault = (fleet: SoakFleet, random: Random) => Promise<void>;
 
-/** Ways in which a connection breaks. */
-const CUTS: readonly ProxyMode[] = [
+/** Proxy modes that disturb connections. */
+const CONNECTION_FAULTS: readonly ProxyMode[] = [
   "cut",
   "reset",
   "freeze",
   "freeze_requests",
   "freeze_answers",
 ];
-/** What workers do wrong. */
+/** Faults of workers in handling requests. */
 const WORKER_FAULTS: readonly WorkerFault[] = [
   "errors",
   "full",
@@ -32,7 +32,7 @@
 ];
 
 async function killGateway(fleet: SoakFleet, random: Random): Promise<void> {
-  await killAll(fleet, [random.pick(fleet.gateways)], random);
+  await killAndRestart(fleet, [random.pick(fleet.gateways)], random);
 }
 
 async function killManyGateways(
@@ -40,10 +40,10 @@
   random: Random,
 ): Promise<void> {
   const hit = fleet.gateways.filter(() => random.fraction() < 0.7);
-  await killAll(fleet, hit, random);
+  await killAndRestart(fleet, hit, random);
 }
 
-async function killAll(
+async function killAndRestart(
   fleet: SoakFleet,
   hit: readonly GatewayProcess[],
   random: Random,
@@ -52,35 +52,38 @@
   await Promise.all(hit.map((gateway) => gateway.program.kill()));
   await delay(random.integer(50, 1_200));
   for (const gateway of hit) gateway.program.start();
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
 async function stopGateway(fleet: SoakFleet, random: Random): Promise<void> {
-  await stop(fleet, random.pick(fleet.gateways));
+  await stopAndRestart(fleet, random.pick(fleet.gateways));
 }
 
-/** Stops gateways in turn, each some time after the one before, whether that has ended or not. */
+/** Stops the gateways one after the other at a fixed interval, without waiting for the previous stop to end. */
 async function stopInTurn(fleet: SoakFleet, random: Random): Promise<void> {
   const gapMs = random.integer(200, 2_500);
   const stops = random.shuffle(fleet.gateways).map(async (gateway, index) => {
     await delay(index * gapMs);
-    await stop(fleet, gateway);
+    await stopAndRestart(fleet, gateway);
   });
   await Promise.all(stops);
 }
 
-async function stop(fleet: SoakFleet, gateway: GatewayProcess): Promise<void> {
+async function stopAndRestart(
+  fleet: SoakFleet,
+  gateway: GatewayProcess,
+): Promise<void> {
   const { program, id } = gateway;
   if (!program.isAlive) return;
   const life = program.starts;
   const window = fleet.faults.begin("stop", [id], true);
-  fleet.stops.push({ gateway: id, life, at: performance.now() });
+  fleet.plannedStops.push({ gateway: id, life, at: performance.now() });
   program.signal("SIGTERM");
-  const isOver = program.waitForExit().then(() => true);
+  const exited = program.waitForExit().then(() => true);
   const limit = delay(BOUNDS.stopWithinMs, false, { ref: false });
-  const hasEnded = await Promise.race([isOver, limit]);
-  if (!hasEnded && program.starts === life) await program.kill();
+  const hasExited = await Promise.race([exited, limit]);
+  if (!hasExited && program.starts === life) await program.kill();
   program.start();
   fleet.faults.end(window);
 }
@@ -102,7 +105,7 @@
   gateway.program.signal("SIGSTOP");
   await delay(random.integer(200, 6_000));
   gateway.program.signal("SIGCONT");
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
@@ -115,7 +118,8 @@
   fleet.faults.end(window);
 }
 
-/** The store is away for a moment and comes back from a copy some seconds old; its writers write again what was lost. */
+/** Makes the store unavailable for a moment and restores it from a snapshot that is a few seconds old; its writers then
+ * write the lost items again. */
 async function restoreStore(fleet: SoakFleet, random: Random): Promise<void> {
   const { store } = fleet;
   const copy = store.copy();
@@ -128,13 +132,13 @@
   store.behaviour = "well";
   await delay(random.integer(0, 2_000));
   store.rewriteLost(lost, copy);
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
 async function cutFromStore(fleet: SoakFleet, random: Random): Promise<void> {
   const hit = fleet.gateways.filter(() => random.fraction() < 0.4);
-  const mode = random.pick([...CUTS, "pass"] as const);
+  const mode = random.pick([...CONNECTION_FAULTS, "pass"] as const);
   const delayMs = random.integer(0, 900);
   const window = fleet.faults.begin(`store ${mode}`, ["store"]);
   for (const gateway of hit) gateway.storeProxy.setMode(mode, delayMs);
@@ -145,12 +149,12 @@
 
 async function cutWorker(fleet: SoakFleet, random: Random): Promise<void> {
   const worker = random.pick(fleet.workers);
-  const mode = random.pick([...CUTS, "pass"] as const);
+  const mode = random.pick([...CONNECTION_FAULTS, "pass"] as const);
   const window = fleet.faults.begin(`worker ${mode}`, [worker.id]);
   worker.proxy.setMode(mode, random.integer(0, 300));
   await delay(random.integer(100, 3_000));
   worker.proxy.setMode("pass");
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
@@ -164,68 +168,69 @@
   worker.fault = fault;
   await delay(random.integer(300, 4_000));
   worker.fault = "none";
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
-/** A worker crashes; its address may go to one of another service at once. */
+/** Crashes a worker; a worker of another service may take over its address at once. */
 async function crashWorker(fleet: SoakFleet, random: Random): Promise<void> {
   const worker = random.pick(fleet.workers);
-  if (!mayGo(fleet, worker)) return;
+  if (!isRemovable(fleet, worker)) return;
   const window = fleet.faults.begin("crash", [worker.id]);
-  fleet.forgetWorker(worker);
+  fleet.excludeFromFaults(worker);
   await worker.crash();
   const isReused = random.fraction() < 0.5;
   if (isReused) {
     const other = worker.service === "plain" ? "engine" : "plain";
     await fleet.addWorker(other, worker.proxy);
   }
-  await delay(ENTRY_LAPSES_MS);
+  await delay(ENTRY_TTL_MS);
   fleet.store.remove(`servers/${worker.id}`);
   if (!isReused) worker.proxy.close();
   await fleet.addWorker(worker.service);
   fleet.faults.end(window);
 }
 
-/** A worker is replaced: the new one comes first, the old one says that it leaves and serves on for a while. */
+/** Replaces a worker: the new one starts first, then the old one announces in the store that it leaves and keeps
+ * serving for a while. */
 async function replaceWorker(fleet: SoakFleet, random: Random): Promise<void> {
   const worker = random.pick(fleet.workers);
-  if (!mayGo(fleet, worker)) return;
-  fleet.forgetWorker(worker);
+  if (!isRemovable(fleet, worker)) return;
+  fleet.excludeFromFaults(worker);
   await fleet.addWorker(worker.service);
   fleet.publishLeaving(worker);
-  await delay(BOUNDS.leaveWithinMs + LINGER_MS);
+  await delay(BOUNDS.leaveWithinMs + WORKER_DRAIN_MS);
   fleet.store.remove(`servers/${worker.id}`);
   const window = fleet.faults.begin("end", [worker.id]);
   await worker.close();
   fleet.faults.end(window);
 }
 
-/** A worker crashes and starts again at once under its id and address; nobody but its entry tells. */
+/** Crashes a worker and restarts it soon afterwards with the same id and address; only its entry shows the restart. */
 async function restartWorker(fleet: SoakFleet, random: Random): Promise<void> {
   const worker = random.pick(fleet.workers);
-  if (!mayGo(fleet, worker)) return;
+  if (!isRemovable(fleet, worker)) return;
   const window = fleet.faults.begin("restart", [worker.id]);
-  fleet.forgetWorker(worker);
+  fleet.excludeFromFaults(worker);
   await worker.crash();
   await delay(random.integer(0, 800));
   await fleet.addWorker(worker.service, worker.proxy, worker.id);
-  await delay(AFTERMATH_MS);
+  await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
-/** Another writer spoils the entry of a worker, which works on until another takes over its address after a while. */
+/** Overwrites the entry of a worker with an invalid one. The worker serves until another takes over its address. */
 async function spoilEntry(fleet: SoakFleet, random: Random): Promise<void> {
   const worker = random.pick(fleet.workers);
-  if (!mayGo(fleet, worker)) return;
-  fleet.forgetWorker(worker);
-  const { sequence: _, ...unsound } = worker.describe("ready");
-  const texts = ["\u0000", "{", JSON.stringify(unsound), "null"];
+  if (!isRemovable(fleet, worker)) return;
+  fleet.excludeFromFaults(worker);
+  const { sequence: _, ...incomplete } = worker.describe("ready");
+  const texts = ["\u0000", "{", JSON.stringify(incomplete), "null"];
   fleet.store.putText(`servers/${worker.id}`, random.pick(texts));
-  fleet.leavings.push({ worker: worker.id, at: performance.now() });
+  fleet.leaveAnnouncements.push({ worker: worker.id, at: performance.now() });
   await delay(BOUNDS.leaveWithinMs + random.integer(500, 2_500));
-  const again = await fleet.addWorker(worker.service, worker.proxy);
-  fleet.faults.end(fleet.faults.begin("taken over", [worker.id, again.id]));
+  const successor = await fleet.addWorker(worker.service, worker.proxy);
+  fleet.faults.end(fleet.faults.begin("taken over", [worker.id, successor.id]));
   fleet.store.remove(`servers/${worker.id}`);
   await worker.crash();
 }
@@ -241,7 +246,7 @@
   }
 }
 
-/** The faults by name. */
+/** Faults by the name that selects them on the command line. */
 export const SOAK_FAULTS: Readonly<Record<string, SoakFault>> = {
   killGateway,
   killManyGateways,
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -11,67 +11,71 @@
   KIND_RULES,
   type RequestKind,
 } from "./caller_attempt.ts";
-import { crashForAWhile } from "./crashing_requests.ts";
-import type { Leaving, PublishedVersion, Stop } from "./evidence.ts";
+import { crashAndReplace } from "./crashing_requests.ts";
+import type {
+  LeaveAnnouncement,
+  PlannedStop,
+  PublishedVersion,
+} from "./evidence.ts";
 import { FaultLog } from "./fault_log.ts";
 import { GatewayProcess } from "./gateway_process.ts";
 import { SoakWorker } from "./soak_worker.ts";
 import type { WorkerDecline } from "./worker_decline.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
-/** Key that every version of the configuration holds. */
+/** API key that every version of the configuration contains. */
 export const LASTING_KEY = "key-lasting";
-/** Customer that holds all keys. */
+/** Customer that owns all API keys. */
 export const CUSTOMER = "customer-1";
-/** Host that requests name. */
+/** Host name in the requests of callers. */
 export const HOST = "soak.example";
 
-/** Longest time for the first start of a fleet, in milliseconds. */
+/** Time within which each gateway must list all gateways after the start of a fleet, in milliseconds. */
 const START_TIMEOUT_MS = 30_000;
-/** Interval at which it is looked whether the fleet has started, in milliseconds. */
+/** Interval at which the start of the fleet is polled, in milliseconds. */
 const POLL_MS = 50;
-/** Most gateways of a fleet. */
+/** Largest number of gateways in a fleet. */
 const MAX_GATEWAYS = 60;
-/** Most fleets that one process may run at the same time. */
+/** Largest number of fleets that one process may run concurrently. */
 const MAX_FLEETS = 4;
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export interface SoakFleetOptions {
   seed: number;
   gateways: number;
   engines: number;
   plain: number;
-  /** Command of the gateways; the bundle by default. */
+  /** Command that starts the gateways; the bundled program by default. */
   program?: readonly [string, ...string[]];
 }
 
-/** A store and workers as stand-ins in this process, and gateways as processes, with what each saw. */
+/** A fleet with a fake store and fake workers in this process and gateways in processes of their own. It records what
+ * callers, workers and the store see. */
 export class SoakFleet {
-  /** The gateways. */
   readonly gateways: GatewayProcess[] = [];
-  /** The workers that faults may hit. */
+  /** Workers that faults may target. */
   readonly workers: SoakWorker[] = [];
-  /** What callers sent, and what came back. */
+  /** Attempts of callers with their answers. */
   readonly attempts: CallerAttempt[] = [];
-  /** What workers ran, over all their starts. */
+  /** Requests that workers ran, over all their starts. */
   readonly runs: WorkerRun[] = [];
-  /** What workers turned away. */
+  /** Requests that workers declined. */
   readonly declines: WorkerDecline[] = [];
-  /** Versions of the configuration so far. */
+  /** Versions of the configuration published so far. */
   readonly versions: PublishedVersion[] = [];
-  /** Words of workers that they leave. */
-  readonly leavings: Leaving[] = [];
+  /** Announcements in the store that workers leave. */
+  readonly leaveAnnouncements: LeaveAnnouncement[] = [];
   /** Planned stops of gateways. */
-  readonly stops: Stop[] = [];
-  /** Faults so far. */
+  readonly plannedStops: PlannedStop[] = [];
+  /** Log of the faults so far. */
   readonly faults = FaultLog.create();
   private readonly folder = mkdtempSync(`${tmpdir()}/beechkeel-soak-`);
   private readonly random: Random;
-  private readonly number = nextFleet();
+  private readonly fleetNumber = nextFleetNumber();
   private workerCount = 0;
 
   private constructor(
-    /** What the platform publishes. */
+    /** Store in which configurations and the entries of workers are published. */
     readonly store: FakeStore,
     private readonly options: SoakFleetOptions,
   ) {
@@ -79,7 +83,7 @@
   }
 
   /** Starts a fleet and waits until every gateway serves.
-   * @param options What it is made of. */
+   * @param options Options of the fleet. */
   static async create(options: SoakFleetOptions): Promise<SoakFleet> {
     const fleet = new SoakFleet(await FakeStore.create(), options);
     try {
@@ -104,7 +108,8 @@
     );
   }
 
-  /** Publishes a version with a route and a key that only it holds, and all that last. */
+  /** Publishes a new version of the configuration, with the permanent routes and key, and a route and a key that only
+   * this version contains. */
   publishNextVersion(): void {
     const version = (this.versions.at(-1)?.version ?? 0) + 3;
     const key = `key-${version}`;
@@ -112,10 +117,10 @@
     this.versions.push({ version, key, at: performance.now() });
   }
 
-  /** Starts a worker and publishes it.
-   * @param service Service it belongs to.
-   * @param proxy Proxy of a worker that is gone, whose address this one takes over.
-   * @param id Id of a worker that starts again; a new one by default. */
+  /** Starts a worker and publishes its entry.
+   * @param service Service that it belongs to.
+   * @param proxy Proxy of a stopped worker whose address this one takes over.
+   * @param id Id of a worker that restarts; a new id by default. */
   async addWorker(
     service: string,
     proxy?: FaultProxy,
@@ -129,41 +134,41 @@
       this.random.fork(),
       proxy,
     );
-    worker.onCrashing = () =>
-      void crashForAWhile(this, worker, this.random.fork());
+    worker.onCrashRequest = () =>
+      void crashAndReplace(this, worker, this.random.fork());
     this.workers.push(worker);
     this.store.put(`servers/${worker.id}`, worker.describe("ready"));
     return worker;
   }
 
-  /** Lets a worker say that it leaves.
+  /** Publishes that a worker leaves.
    * @param worker The worker. */
   publishLeaving(worker: SoakWorker): void {
     this.store.put(`servers/${worker.id}`, worker.describe("draining"));
-    this.leavings.push({ worker: worker.id, at: performance.now() });
+    this.leaveAnnouncements.push({ worker: worker.id, at: performance.now() });
   }
 
-  /** Takes a worker off the list of those that faults may hit.
+  /** Excludes a worker from further faults.
    * @param worker The worker. */
-  forgetWorker(worker: SoakWorker): void {
+  excludeFromFaults(worker: SoakWorker): void {
     const index = this.workers.indexOf(worker);
     if (index >= 0) this.workers.splice(index, 1);
   }
 
-  /** Waits until each gateway names all of them. */
+  /** Waits until the lookup of each gateway returns all gateways. */
   async waitUntilServing(): Promise<void> {
     const endsAt = performance.now() + START_TIMEOUT_MS;
     for (const gateway of this.gateways) {
       while ((await locate(gateway)).length < this.gateways.length) {
         if (performance.now() > endsAt) {
-          throw new Error(`${gateway.id} does not name all gateways`);
+          throw new Error(`${gateway.id} does not list all gateways in time`);
         }
         await delay(POLL_MS);
       }
     }
   }
 
-  /** Ends everything. */
+  /** Stops all processes and fakes, and removes the settings files. */
   async close(): Promise<void> {
     await Promise.all(this.gateways.map((gateway) => gateway.close()));
     await Promise.all(this.workers.map((worker) => worker.close()));
@@ -200,24 +205,24 @@
     );
   }
 
-  /** An address that no other fleet on this machine uses at the same time, for it holds the numbers of the process and
-   * of the fleet in it. */
+  /** Loopback address that no other fleet on this machine uses at the same time: it is derived from the process id and
+   * the number of the fleet. */
   private getIp(index: number): string {
     const { pid } = process;
-    const last = this.number * MAX_GATEWAYS + index + 1;
+    const last = this.fleetNumber * MAX_GATEWAYS + index + 1;
     return `127.${100 + (pid >> 8) % 100}.${pid & 0xff}.${last}`;
   }
 }
 
 let fleetCount = 0;
 
-/** Number of a new fleet among those that this process may run at the same time. */
-function nextFleet(): number {
+/** Returns the number of a new fleet among those that this process may run concurrently. */
+function nextFleetNumber(): number {
   fleetCount += 1;
   return fleetCount % MAX_FLEETS;
 }
 
-/** Asks a gateway which addresses to use; none where it does not answer.
+/** Looks up at a gateway which addresses to use. Returns none if it does not answer.
  * @param gateway The gateway. */
 export async function locate(gateway: GatewayProcess): Promise<string[]> {
   try {
@@ -245,12 +250,12 @@
 
 function buildRoute(kind: RequestKind, version: number) {
   const rules = KIND_RULES[kind];
-  const unstreamed = rules.mayRepeat ? "idempotent" : "non_idempotent";
+  const unaryKind = rules.mayRepeat ? "idempotent" : "non_idempotent";
   return {
     name: kind,
     host: HOST,
     path_prefix: kind === "version" ? `/version/${version}/` : `/${kind}/`,
-    route_kind: rules.isStream ? "streaming" : unstreamed,
+    route_kind: rules.isStream ? "streaming" : unaryKind,
     timeout_ms: rules.timeoutMs,
     slo_ms: rules.isStream ? 400 : 120,
     service: rules.service,
--- a/soak/soak_worker.ts
+++ b/soak/soak_worker.ts
@@ -6,11 +6,11 @@
 import { buildWorkerEntry } from "../fakes/worker_entry.ts";
 import type { Random } from "../src/random/random.ts";
 import { isCrashingPath } from "./crashing_requests.ts";
-import { countEvents, writeEvent, writeWholeAnswer } from "./stream_text.ts";
+import { countEvents, formatAnswer, formatEvent } from "./stream_text.ts";
 import type { WorkerLedger } from "./worker_ledger.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
-/** What a worker does wrong with part of its requests. */
+/** A fault with which a worker handles some of its requests. */
 export type WorkerFault =
   | "none"
   | "errors"
@@ -22,47 +22,47 @@
   | "crossed"
   | "slow";
 
-/** Requests a worker takes at once. */
-const SLOTS = 12;
-/** Least and most work on a request, in milliseconds. */
-const WORK_MS = [3, 25] as const;
-/** Least and most pause between two events, in milliseconds. */
-const EVENT_PAUSE_MS = [2, 18] as const;
-/** Work of a slow worker, as a multiple of the usual. */
+/** Most requests that a worker runs concurrently. */
+const MAX_IN_FLIGHT = 12;
+/** Range of the duration of work on a request, in milliseconds. */
+const WORK_RANGE_MS = [3, 25] as const;
+/** Range of the pause between two events, in milliseconds. */
+const EVENT_PAUSE_RANGE_MS = [2, 18] as const;
+/** Factor by which work takes longer on a slow worker. */
 const SLOW_FACTOR = 12;
-/** Part of its whole answers that end with their connection rather than by a length. */
+/** Share of the non-streamed answers that are delimited by the end of the connection rather than by a length. */
 const UNFRAMED_SHARE = 0.1;
-/** Part of its requests with which a faulty worker does wrong. */
+/** Share of its requests to which a faulty worker applies its fault. */
 const FAULT_SHARE = 0.5;
 
-/** A stand-in of a worker behind a proxy that injects faults, with a ledger of what it ran. */
+/** A fake worker behind a fault-injecting proxy, with a ledger of what it ran and declined. */
 export class SoakWorker {
-  /** What it does wrong. */
+  /** Fault applied to a share of the requests. */
   fault: WorkerFault = "none";
-  /** Time without requests that it asks for while it turns all away, in milliseconds; undefined where it takes them. */
+  /** Backoff that it asks for while it declines all requests, in milliseconds; undefined if it accepts them. */
   backoffMs: number | undefined;
-  /** Whether its answers say that it leaves. */
-  saysLeaving = false;
-  /** Told when a request begins that crashes the worker. */
-  onCrashing: () => void = () => undefined;
+  /** Whether its answers announce that it leaves. */
+  announcesLeaving = false;
+  /** Called when the worker starts to run a request that crashes it. */
+  onCrashRequest: () => void = () => undefined;
   private running = 0;
 
   private constructor(
     private readonly worker: FakeWorker,
-    /** The way to it. */
+    /** Proxy in front of the worker. */
     readonly proxy: FaultProxy,
-    /** Service it belongs to. */
+    /** Service that it belongs to. */
     readonly service: string,
     private readonly ledger: WorkerLedger,
     private readonly random: Random,
   ) {}
 
   /** Starts a worker.
-   * @param id Id of this start.
-   * @param service Service it belongs to.
-   * @param ledger Where it writes what it does with requests.
-   * @param random Source of its work and faults.
-   * @param proxy Proxy of a worker that is gone, whose address this one takes over. */
+   * @param id Id under which it is published.
+   * @param service Service that it belongs to.
+   * @param ledger Ledger of the requests that it runs and declines.
+   * @param random Source of randomness.
+   * @param proxy Proxy of a stopped worker whose address this one takes over. */
   static async create(
     id: string,
     service: string,
@@ -73,36 +73,42 @@
     const worker = await FakeWorker.create(id);
     const port = Number(worker.address.split(":")[1]);
     proxy?.setTarget(port);
-    const way = proxy ?? await FaultProxy.create(port);
-    const soakWorker = new SoakWorker(worker, way, service, ledger, random);
+    const workerProxy = proxy ?? await FaultProxy.create(port);
+    const soakWorker = new SoakWorker(
+      worker,
+      workerProxy,
+      service,
+      ledger,
+      random,
+    );
     worker.behaviour = (request, response) =>
       void soakWorker.handle(request, response);
     return soakWorker;
   }
 
-  /** Id of this start. */
+  /** Id under which it is published. */
   get id(): string {
     return this.worker.id;
   }
 
-  /** What it publishes of itself.
-   * @param state `ready` or `draining`. */
+  /** Builds its entry in the store.
+   * @param state State in the entry. */
   describe(state: "ready" | "draining") {
     return buildWorkerEntry({
       service: this.service,
       address: `127.0.0.1:${this.proxy.port}`,
-      slots: SLOTS,
+      slots: MAX_IN_FLIGHT,
       state,
       startedAt: this.worker.startedAt,
     });
   }
 
-  /** Ends the worker as a crash does; its proxy stays for another at the same address. */
+  /** Stops the worker as a crash does. Its proxy stays open for another worker at the same address. */
   async crash(): Promise<void> {
     await this.worker.close();
   }
 
-  /** Ends the worker and its proxy. */
+  /** Stops the worker and its proxy. */
   async close(): Promise<void> {
     await this.worker.close();
     this.proxy.close();
@@ -114,11 +120,11 @@
   ): Promise<void> {
     const requestId = getHeader(request, "x-beechkeel-attempt-id");
     if (requestId === "") return decline(response, 400);
-    if (this.saysLeaving) response.setHeader("Server-Leaving", "1");
+    if (this.announcesLeaving) response.setHeader("Server-Leaving", "1");
     const fault = this.random.fraction() < FAULT_SHARE ? this.fault : "none";
-    const isFull = this.running >= SLOTS || fault === "full";
+    const isFull = this.running >= MAX_IN_FLIGHT || fault === "full";
     if (isFull || this.backoffMs !== undefined) {
-      return this.turnAway(response, requestId);
+      return this.declineRequest(response, requestId);
     }
     const run = this.startRun(request, requestId);
     this.running += 1;
@@ -130,7 +136,7 @@
     await this.answer(request, response, run, fault);
   }
 
-  private turnAway(response: ServerResponse, requestId: string): void {
+  private declineRequest(response: ServerResponse, requestId: string): void {
     const { id: worker, backoffMs } = this;
     const at = performance.now();
     this.ledger.declines.push({ requestId, worker, at, backoffMs });
@@ -141,8 +147,8 @@
   }
 
   private startRun(request: IncomingMessage, requestId: string): WorkerRun {
-    const arrival = this.worker.arrivals.findLast((one) =>
-      one.headers === request.headers
+    const arrival = this.worker.arrivals.findLast((candidate) =>
+      candidate.headers === request.headers
     );
     const run: WorkerRun = {
       requestId,
@@ -151,7 +157,7 @@
       method: request.method ?? "",
       path: request.url ?? "",
       body: arrival?.body ?? "",
-      prompt: readPrompt(request),
+      prompt: joinPromptHeaders(request),
       customer: getHeader(request, "x-beechkeel-tenant") || undefined,
       afterEvent: Number(getHeader(request, "last-event-id")),
       startedAt: performance.now(),
@@ -159,7 +165,7 @@
       status: undefined,
       isWhole: false,
       wasCancelled: false,
-      saidLeaving: this.saysLeaving,
+      saidLeaving: this.announcesLeaving,
     };
     this.ledger.runs.push(run);
     return run;
@@ -172,9 +178,9 @@
     fault: WorkerFault,
   ): Promise<void> {
     if (fault === "mute") return;
-    await this.work(WORK_MS, fault);
+    await this.work(WORK_RANGE_MS, fault);
     if (response.destroyed) return;
-    if (isCrashingPath(run.path)) return this.onCrashing();
+    if (isCrashingPath(run.path)) return this.onCrashRequest();
     if (fault === "reset") return resetSocket(request.socket);
     if (fault === "errors") return this.answerError(request, response, run);
     const headers = this.worker.prove(request);
@@ -203,8 +209,8 @@
     headers: Record<string, string>,
     fault: WorkerFault,
   ): void {
-    const text = writeWholeAnswer(run.requestId, this.id);
-    // What follows an answer without a length would be part of it.
+    const text = formatAnswer(run.requestId, this.id);
+    // Surplus bytes after an answer without a length would be part of that answer.
     const isUnframed = fault !== "surplus" &&
       this.random.fraction() < UNFRAMED_SHARE;
     if (isUnframed) response.shouldKeepAlive = false;
@@ -235,14 +241,14 @@
     const breaksAt = this.random.integer(run.afterEvent + 1, count + 1);
     for (let event = run.afterEvent + 1; event <= count; event++) {
       if (response.destroyed) return;
-      const text = writeEvent(run.requestId, event, run.path);
+      const text = formatEvent(run.requestId, event, run.path);
       if (fault === "cut_short" && event === breaksAt) {
         response.write(text.slice(0, text.length / 2));
         if (response.socket) resetSocket(response.socket);
         return;
       }
       response.write(text);
-      await this.work(EVENT_PAUSE_MS, fault);
+      await this.work(EVENT_PAUSE_RANGE_MS, fault);
     }
     if (response.destroyed) return;
     response.end();
@@ -250,16 +256,16 @@
   }
 
   private async work(
-    [least, most]: readonly [number, number],
+    [min, max]: readonly [number, number],
     fault: WorkerFault,
   ): Promise<void> {
     const factor = fault === "slow" ? SLOW_FACTOR : 1;
-    await delay(this.random.integer(least, most) * factor);
+    await delay(this.random.integer(min, max) * factor);
   }
 }
 
-/** Headers of a prompt, as the caller set them, in one text. */
-function readPrompt(request: IncomingMessage): string {
+/** Joins the values of the prompt headers of a request with `|`. */
+function joinPromptHeaders(request: IncomingMessage): string {
   return ["model", "token-usage", "prefix-hash"].map((name) =>
     getHeader(request, `x-beechkeel-${name}`)
   ).join("|");
@@ -270,7 +276,7 @@
   return (Array.isArray(value) ? value.join(",") : value) ?? "";
 }
 
-/** Says that the request was not run. */
+/** Answers that the request was not executed. */
 function decline(response: ServerResponse, status: number): void {
   response.writeHead(status, { "X-Beechkeel-Not-Executed": "1" }).end();
 }
--- a/soak/stream_text.ts
+++ b/soak/stream_text.ts
@@ -1,14 +1,14 @@
 import { hashText } from "../src/hashing/hasher.ts";
 
-/** Least events of a stream. */
-const LEAST_EVENTS = 2;
-/** Different numbers of events that streams have. */
-const EVENT_SPREAD = 24;
+/** Smallest number of events in a stream. */
+const MIN_EVENTS = 2;
+/** Number of different event counts that streams have. */
+const EVENT_COUNT_RANGE = 24;
 
-/** Number of events in the stream for a path.
+/** Number of events in the stream of a path.
  * @param path Path of the request. */
 export function countEvents(path: string): number {
-  return LEAST_EVENTS + hashText(path) % EVENT_SPREAD;
+  return MIN_EVENTS + hashText(path) % EVENT_COUNT_RANGE;
 }
 
 /** Data of one event.
@@ -23,11 +23,11 @@
   return `${requestId} ${event}/${countEvents(path)}`;
 }
 
-/** One event as it is written.
+/** Formats one event as it is sent.
  * @param requestId Id of the request.
  * @param event Number of the event, from 1.
  * @param path Path of the request. */
-export function writeEvent(
+export function formatEvent(
   requestId: string,
   event: number,
   path: string,
@@ -35,9 +35,9 @@
   return `id: ${event}\ndata: ${getEventData(requestId, event, path)}\n\n`;
 }
 
-/** Whole answer of a request that is no stream.
+/** Formats the complete answer to a request that is not streamed.
  * @param requestId Id of the request.
- * @param worker Worker that ran it. */
-export function writeWholeAnswer(requestId: string, worker: string): string {
+ * @param worker Id of the worker that ran it. */
+export function formatAnswer(requestId: string, worker: string): string {
   return JSON.stringify({ requestId, worker, padding: "x".repeat(400) });
 }
--- /dev/null
+++ b/soak/timing_invariants.ts
@@ -0,0 +1,152 @@
+import { BOUNDS, CANCEL_TIMEOUT_MS, FINAL_ANSWER_GRACE_MS } from "./bounds.ts";
+import { KIND_RULES } from "./caller_attempt.ts";
+import type { Evidence } from "./evidence.ts";
+import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
+
+/** Tolerance added to each bound for network latency and the timers of this process, in milliseconds. */
+const MARGIN_MS = 250;
+/** Time after a fault of the store in which gateways may not have received a change, in milliseconds. */
+const STORE_RECOVERY_MS = 3_000;
+/** Largest share of the abandoned requests that may still run after the bound. */
+const MAX_LATE_SHARE = 0.25;
+
+/** Checks of the invariants about timing, by the name that is printed with breaches. They are for manual runs on a
+ * machine without other load. */
+export const TIMING_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
+  "a leaving worker gets no new work": checkLeaving,
+  "a key that was taken away is not honoured": checkRevokedKeys,
+  "a final answer comes by the route's time-out": checkFinalAnswers,
+  "work ends when its caller has left": checkCancelled,
+  "retries keep to the budget": checkRetries,
+};
+
+function checkLeaving(evidence: Evidence): string[] {
+  const { leaveAnnouncements: leavings, runs, faults, lagMs } = evidence;
+  return leavings.flatMap(({ worker, at }) => {
+    const latest = at + BOUNDS.leaveWithinMs + MARGIN_MS + lagMs;
+    const from = at - STORE_RECOVERY_MS;
+    return runs.filter((run) =>
+      run.worker === worker && run.startedAt > latest &&
+      !faults.wasHit("store", from, run.startedAt) &&
+      !wasAnyGatewayHit(evidence, from, run.startedAt)
+    ).map((run) =>
+      `${run.requestId} reached ${worker} ${
+        Math.round(run.startedAt - at)
+      } ms after it announced leaving`
+    );
+  });
+}
+
+/** Whether any gateway was killed or frozen within an interval; it may then send requests that it accepted before. */
+function wasAnyGatewayHit(
+  { faults, attempts }: Evidence,
+  from: number,
+  to: number,
+): boolean {
+  const gateways = new Set(attempts.map((attempt) => attempt.gateway));
+  return [...gateways].some((gateway) => faults.wasHit(gateway, from, to));
+}
+
+function checkRevokedKeys(evidence: Evidence): string[] {
+  const { versions, attempts, runs, lagMs } = evidence;
+  const runsOf = groupRunsById(runs);
+  const revokedAt = new Map(
+    versions.slice(0, -1).map(({ key }, index) => [
+      key,
+      versions[index + 1]!.at,
+    ]),
+  );
+  return attempts.flatMap((attempt) => {
+    const at = revokedAt.get(attempt.key);
+    if (at === undefined) return [];
+    const isLate = attempt.sentAt > at + BOUNDS.revokeWithinMs + lagMs;
+    return isLate && runsOf.has(attempt.requestId)
+      ? [
+        `${attempt.requestId} ran ${
+          Math.round(attempt.sentAt - at)
+        } ms after its key was revoked`,
+      ]
+      : [];
+  });
+}
+
+function checkFinalAnswers(evidence: Evidence): string[] {
+  return evidence.attempts.flatMap((attempt) => {
+    const { sentAt, endedAt, gaveUpAt, gateway, requestId } = attempt;
+    const until = endedAt ?? Infinity;
+    const latest = sentAt + KIND_RULES[attempt.kind].timeoutMs +
+      FINAL_ANSWER_GRACE_MS + MARGIN_MS + evidence.lagMs;
+    const isLate = (gaveUpAt ?? until) > latest;
+    return isLate && !evidence.faults.wasHit(gateway, sentAt, until)
+      ? [
+        `${requestId} at ${gateway}: no end after ${
+          Math.round(until - sentAt)
+        } ms`,
+      ]
+      : [];
+  });
+}
+
+function checkCancelled(evidence: Evidence): string[] {
+  const runsOf = groupRunsById(evidence.runs);
+  const givenUp = evidence.attempts.filter((attempt) =>
+    attempt.gaveUpAt !== undefined && KIND_RULES[attempt.kind].mayRepeat &&
+    !evidence.faults.wasHit(attempt.gateway, attempt.sentAt, attempt.gaveUpAt)
+  );
+  const late = givenUp.filter((attempt) => {
+    const latest = attempt.gaveUpAt! + CANCEL_TIMEOUT_MS + MARGIN_MS +
+      evidence.lagMs;
+    return runsOf.get(attempt.requestId)?.some((run) =>
+      (run.endedAt ?? Infinity) > latest &&
+      !evidence.faults.wasHit(run.worker, run.startedAt, latest)
+    );
+  });
+  return late.length > givenUp.length * MAX_LATE_SHARE
+    ? [
+      `${late.length} of ${givenUp.length} requests went on after their callers left`,
+    ]
+    : [];
+}
+
+function checkRetries({ attempts, runs, declines }: Evidence): string[] {
+  const serviceById = new Map(
+    attempts.map((attempt) => [
+      attempt.requestId,
+      KIND_RULES[attempt.kind].service,
+    ]),
+  );
+  const arrivals = [
+    ...runs.map(({ requestId, startedAt: at }) => ({ requestId, at })),
+    ...declines,
+  ].sort((a, b) => a.at - b.at);
+  const first = new Set<string>();
+  const repeats = arrivals.filter(({ requestId }) => {
+    const isRepeat = first.has(requestId);
+    first.add(requestId);
+    return isRepeat;
+  });
+  return [...new Set(serviceById.values())].flatMap((service) => {
+    const isOfService = ({ requestId }: { requestId: string }) =>
+      serviceById.get(requestId) === service;
+    return findExcessRetries(
+      attempts.filter(isOfService).map((attempt) => attempt.sentAt),
+      repeats.filter(isOfService).map(({ at }) => at),
+    ).map((excess) => `${service}: ${excess}`);
+  });
+}
+
+/** Finds windows with more retries than their number of requests allows.
+ * @param sent Times at which requests were sent.
+ * @param repeated Times at which retries arrived. */
+function findExcessRetries(sent: number[], repeated: number[]): string[] {
+  return repeated.flatMap((end) => {
+    const from = end - BOUNDS.retryWindowMs;
+    const countInside = (times: number[]) =>
+      times.filter((at) => at > from && at <= end).length;
+    const count = countInside(repeated);
+    const most = BOUNDS.retryRatio * countInside(sent) + BOUNDS.retryExtra;
+    return count > most
+      ? [`${count} repeats in a window, ${most} allowed`]
+      : [];
+  });
+}
--- a/soak/worker_decline.ts
+++ b/soak/worker_decline.ts
@@ -1,8 +1,8 @@
-/** One request as a worker turned it away, in monotonic milliseconds of the soak's process. */
+/** One request that a worker declined. Times are monotonic milliseconds of the soak process. */
 export interface WorkerDecline {
   requestId: string;
   worker: string;
   at: number;
-  /** Time without requests that it asked for, in milliseconds; undefined where it named none. */
+  /** Backoff that it asked for, in milliseconds; undefined if it asked for none. */
   backoffMs: number | undefined;
 }
--- a/soak/worker_run.ts
+++ b/soak/worker_run.ts
@@ -1,4 +1,4 @@
-/** One request as a worker ran it, in monotonic milliseconds of the soak's process. */
+/** One request that a worker ran. Times are monotonic milliseconds of the soak process. */
 export interface WorkerRun {
   requestId: string;
   worker: string;
@@ -6,20 +6,20 @@
   method: string;
   path: string;
   body: string;
-  /** Headers that only callers set: model, tokens and parts of a prompt. */
+  /** Values of the prompt headers that callers set, separated by `|`: model, tokens and parts of the prompt. */
   prompt: string;
   customer: string | undefined;
-  /** Last event that the receiver has, 0 where the stream starts at its beginning. */
+  /** Last event that the receiver has; 0 if the stream starts at its beginning. */
   afterEvent: number;
   startedAt: number;
-  /** When it was over on the worker's side. */
+  /** When the connection closed on the worker's side; undefined while the request runs. */
   endedAt: number | undefined;
-  /** Status that was answered, where one was. */
+  /** Status of the answer; undefined if none was sent. */
   status: number | undefined;
-  /** Whether the worker wrote its whole answer, and nothing but that. */
+  /** Whether the worker wrote its complete answer and nothing else. */
   isWhole: boolean;
-  /** Whether its answer said that the worker leaves. */
+  /** Whether the answer announced that the worker leaves. */
   saidLeaving: boolean;
-  /** Whether the other side closed the connection before the worker was done. */
+  /** Whether the other side closed the connection before the worker had finished. */
   wasCancelled: boolean;
 }
--- a/tests/soak/judge_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -2,18 +2,18 @@
 import type { CallerAttempt } from "../../soak/caller_attempt.ts";
 import type { Evidence } from "../../soak/evidence.ts";
 import { FaultLog } from "../../soak/fault_log.ts";
-import { ANSWER_JUDGES } from "../../soak/judge_answers.ts";
-import { TIME_JUDGES } from "../../soak/judge_times.ts";
+import { ANSWER_INVARIANTS } from "../../soak/answer_invariants.ts";
+import { TIMING_INVARIANTS } from "../../soak/timing_invariants.ts";
 import { CUSTOMER, LASTING_KEY } from "../../soak/soak_fleet.ts";
 import {
   countEvents,
-  writeEvent,
-  writeWholeAnswer,
+  formatAnswer,
+  formatEvent,
 } from "../../soak/stream_text.ts";
 import type { WorkerRun } from "../../soak/worker_run.ts";
 
 const ID = "c-1";
-const JUDGES = { ...ANSWER_JUDGES, ...TIME_JUDGES };
+const INVARIANTS = { ...ANSWER_INVARIANTS, ...TIMING_INVARIANTS };
 
 function buildAttempt(changes: Partial<CallerAttempt> = {}): CallerAttempt {
   return {
@@ -31,7 +31,7 @@
     endedAt: 1_030,
     status: 200,
     seal: "proof",
-    text: writeWholeAnswer(ID, "w-1"),
+    text: formatAnswer(ID, "w-1"),
     isWhole: true,
     gaveUpAt: undefined,
     ...changes,
@@ -65,8 +65,8 @@
     runs: [buildRun()],
     declines: [],
     versions: [],
-    leavings: [],
-    stops: [],
+    leaveAnnouncements: [],
+    plannedStops: [],
     faults: FaultLog.create(),
     lagMs: 0,
     ...changes,
@@ -78,7 +78,7 @@
   return buildAttempt({
     kind: "chat",
     path,
-    text: events.map((event) => writeEvent(ID, event, path)).join(""),
+    text: events.map((event) => formatEvent(ID, event, path)).join(""),
   });
 }
 
@@ -87,11 +87,11 @@
   (_, index) => index + 1,
 );
 
-test("sound evidence shows no breach", (t) => {
-  for (const find of Object.values(JUDGES)) {
-    t.deepEqual(find(buildEvidence()), []);
+test("evidence of a fault-free run shows no breach", (t) => {
+  for (const check of Object.values(INVARIANTS)) {
+    t.deepEqual(check(buildEvidence()), []);
     t.deepEqual(
-      find(buildEvidence({ attempts: [buildStream(ALL_EVENTS)], runs: [] })),
+      check(buildEvidence({ attempts: [buildStream(ALL_EVENTS)], runs: [] })),
       [],
     );
   }
@@ -99,16 +99,16 @@
 
 const repeatable = { kind: "look", path: "/look/1", body: "" } as const;
 
-/** For each promise, evidence that breaks it. */
+/** Evidence that breaches each invariant, by its name. */
 const BREACHES: Record<string, Evidence[]> = {
   "an answer is that of its own request, and whole": [
     buildEvidence({ attempts: [buildAttempt({ seal: undefined })] }),
     buildEvidence({
-      attempts: [buildAttempt({ text: writeWholeAnswer("c-2", "w-1") })],
+      attempts: [buildAttempt({ text: formatAnswer("c-2", "w-1") })],
     }),
     buildEvidence({
       attempts: [
-        buildAttempt({ text: writeWholeAnswer(ID, "w-1").slice(0, 50) }),
+        buildAttempt({ text: formatAnswer(ID, "w-1").slice(0, 50) }),
       ],
     }),
     buildEvidence({ attempts: [buildStream(ALL_EVENTS.slice(0, -1))] }),
@@ -179,7 +179,7 @@
   ],
   "a leaving worker gets no new work": [
     buildEvidence({
-      leavings: [{ worker: "w-1", at: 1_000 }],
+      leaveAnnouncements: [{ worker: "w-1", at: 1_000 }],
       runs: [buildRun({ startedAt: 3_500 })],
     }),
   ],
@@ -210,36 +210,37 @@
   ],
 };
 
-for (const [promise, find] of Object.entries(JUDGES)) {
-  test(`a judge sees the breach: ${promise}`, (t) => {
-    const cases = BREACHES[promise] ?? [];
+for (const [invariant, check] of Object.entries(INVARIANTS)) {
+  test(`the check finds a breach of: ${invariant}`, (t) => {
+    const cases = BREACHES[invariant] ?? [];
     t.true(cases.length > 0);
-    for (const evidence of cases) t.true(find(evidence).length > 0);
+    for (const evidence of cases) t.true(check(evidence).length > 0);
   });
 }
 
-test("an answer that ended just before its worker crashed may be lost with it, one well before may not", (t) => {
-  const find = JUDGES["a sound worker's answer reaches its caller"]!;
+test("losing an answer is a breach if it ended 50 ms before its worker crashed, but not if it ended 1 ms before", (t) => {
+  const check = INVARIANTS["a sound worker's answer reaches its caller"]!;
   for (const [afterMs, breaches] of [[1, 0], [50, 1]] as const) {
     const faults = FaultLog.create();
     const from = buildRun().endedAt! + afterMs;
     const crash = { name: "crash", targets: ["w-1"], isPlanned: false };
     faults.windows.push({ ...crash, from, to: from + 500 });
     const attempts = [buildAttempt({ isWhole: false })];
-    t.is(find(buildEvidence({ attempts, faults })).length, breaches);
+    t.is(check(buildEvidence({ attempts, faults })).length, breaches);
   }
 });
 
-test("tries of a crashing request before all can have heard of it are no breach", (t) => {
-  const find = JUDGES["a request that crashed three workers reaches few more"]!;
+test("runs of a crashing request within the detection time are not a breach", (t) => {
+  const check =
+    INVARIANTS["a request that crashed three workers reaches few more"]!;
   const runs = [1, 2, 3, 2_900, 2_950, 2_990, 3_000, 5_000].map((startedAt) =>
     buildRun({ path: "/book/crash-1", startedAt })
   );
-  t.deepEqual(find(buildEvidence({ runs })), []);
+  t.deepEqual(check(buildEvidence({ runs })), []);
 });
 
-test("an answer that a fault of its gateway or worker cut off is no breach", (t) => {
-  const find = JUDGES["a sound worker's answer reaches its caller"]!;
+test("an answer cut off by a fault of its gateway or worker is not a breach", (t) => {
+  const check = INVARIANTS["a sound worker's answer reaches its caller"]!;
   for (const target of ["g-0", "w-1"]) {
     const faults = FaultLog.create();
     faults.windows.push({
@@ -250,6 +251,6 @@
       to: 1_500,
     });
     const attempts = [buildAttempt({ isWhole: false })];
-    t.deepEqual(find(buildEvidence({ attempts, faults })), []);
+    t.deepEqual(check(buildEvidence({ attempts, faults })), []);
   }
 });
--- a/tests/soak/soak_test.ts
+++ b/tests/soak/soak_test.ts
@@ -1,31 +1,31 @@
 import test from "ava";
 import {
   AVAILABILITY_FAULTS,
-  FIRST_FAULTS,
+  INITIAL_FAULTS,
   REGRESSION_SEEDS,
   type RegressionSeed,
 } from "../../soak/regression_seeds.ts";
 import { runSeed } from "../../soak/run_seed.ts";
 
-/** The short runs that are no regressions. */
+/** Short runs that are not regression tests. */
 const SHORT_RUNS: readonly RegressionSeed[] = [
   {
     seed: 1,
     seconds: 8,
-    faults: FIRST_FAULTS,
+    faults: INITIAL_FAULTS,
     cause: "none; the short run of CI",
   },
   {
     seed: 2,
     seconds: 4,
     faults: ["sendCrashingRequest", "killGateway"],
-    cause: "none; requests that crash workers, beside kills",
+    cause: "none; requests that crash workers, together with killed gateways",
   },
   {
     seed: 3,
     seconds: 6,
     faults: AVAILABILITY_FAULTS,
-    cause: "none; workers that say whether they take requests",
+    cause: "none; workers that announce their availability",
   },
 ];
 
@@ -36,7 +36,7 @@
     const result = await runSeed({
       seed,
       faultsMs: seconds * 1_000,
-      judgesTimes: false,
+      checksTiming: false,
       size: 1,
       faults,
     });
