--- a/soak/answer_invariants.ts
+++ b/soak/answer_invariants.ts
@@ -90,18 +90,18 @@
 }
 
 function checkSingleRuns(evidence: Evidence): string[] {
-  const runsOf = groupRunsById(evidence.runs);
+  const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.filter((attempt) =>
     !KIND_RULES[attempt.kind].mayRepeat &&
-    (runsOf.get(attempt.requestId)?.length ?? 0) > 1
+    (runsById.get(attempt.requestId)?.length ?? 0) > 1
   ).map((attempt) => `${attempt.requestId} ran more than once`);
 }
 
 function checkNotRunAnswers(evidence: Evidence): string[] {
-  const runsOf = groupRunsById(evidence.runs);
+  const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.filter((attempt) =>
     !KIND_RULES[attempt.kind].mayRepeat &&
-    NOT_RUN_STATUSES.has(attempt.status ?? 0) && runsOf.has(attempt.requestId)
+    NOT_RUN_STATUSES.has(attempt.status ?? 0) && runsById.has(attempt.requestId)
   ).map((attempt) => `${attempt.requestId} got ${attempt.status} and ran`);
 }
 
@@ -122,9 +122,9 @@
 }
 
 function checkWorkerCounts(evidence: Evidence): string[] {
-  const runsOf = groupRunsById(evidence.runs);
+  const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.flatMap(({ requestId, kind }) => {
-    const runs = runsOf.get(requestId) ?? [];
+    const runs = runsById.get(requestId) ?? [];
     const workers = new Set(runs.map((run) => run.worker)).size;
     return workers > KIND_RULES[kind].maxAttempts
       ? [`${requestId} ran on ${workers} workers`]
@@ -150,9 +150,9 @@
 }
 
 function checkLostAnswers(evidence: Evidence): string[] {
-  const runsOf = groupRunsById(evidence.runs);
+  const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.flatMap((attempt) => {
-    const run = runsOf.get(attempt.requestId)?.at(-1);
+    const run = runsById.get(attempt.requestId)?.at(-1);
     if (!run || attempt.isWhole || attempt.gaveUpAt !== undefined) return [];
     return isUndisturbedRun(run, evidence) &&
         isUndisturbedAttempt(attempt, evidence)
@@ -198,11 +198,11 @@
 export function groupRunsById(
   runs: readonly WorkerRun[],
 ): Map<string, WorkerRun[]> {
-  const runsOf = new Map<string, WorkerRun[]>();
+  const runsById = new Map<string, WorkerRun[]>();
   for (const run of runs) {
-    const known = runsOf.get(run.requestId) ?? [];
+    const known = runsById.get(run.requestId) ?? [];
     known.push(run);
-    runsOf.set(run.requestId, known);
+    runsById.set(run.requestId, known);
   }
-  return runsOf;
+  return runsById;
 }
--- a/soak/availability.ts
+++ b/soak/availability.ts
@@ -104,9 +104,9 @@
   for (const { requestId, worker, saidLeaving } of runs) {
     const attempt = byId.get(requestId);
     if (!saidLeaving || !attempt?.isWhole) continue;
-    const name = `${attempt.gateway} ${attempt.life} ${worker}`;
+    const key = `${attempt.gateway} ${attempt.life} ${worker}`;
     const endedAt = attempt.endedAt ?? Infinity;
-    announcedAt.set(name, Math.min(endedAt, announcedAt.get(name) ?? Infinity));
+    announcedAt.set(key, Math.min(endedAt, announcedAt.get(key) ?? Infinity));
   }
   return runs.flatMap(({ requestId, worker, startedAt }) => {
     const attempt = byId.get(requestId);
--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -57,10 +57,10 @@
   try {
     const random = Random.create(options.seed);
     await runFaults(fleet, random, options);
-    const unrecovered = await waitForRecovery(fleet, random);
+    const recoveryBreaches = await waitForRecovery(fleet, random);
     const evidence = { ...fleet, lagMs: lag.max / 1e6 };
     const breaches = [
-      ...unrecovered,
+      ...recoveryBreaches,
       ...checkInvariants(evidence, options.checksTiming),
     ];
     return describeResult(options.seed, fleet, evidence, breaches);
@@ -119,7 +119,8 @@
   }
 }
 
-/** Waits until a plain request and a stream are served several times in a row. Returns a line if they aren't in time. */
+/** Waits until a plain request and a stream are served several times in a row. Returns a breach if this takes too
+ * long. */
 async function waitForRecovery(
   fleet: SoakFleet,
   random: Random,
--- a/soak/soak_faults.ts
+++ b/soak/soak_faults.ts
@@ -39,19 +39,22 @@
   fleet: SoakFleet,
   random: Random,
 ): Promise<void> {
-  const hit = fleet.gateways.filter(() => random.fraction() < 0.7);
-  await killAndRestart(fleet, hit, random);
+  const gateways = fleet.gateways.filter(() => random.fraction() < 0.7);
+  await killAndRestart(fleet, gateways, random);
 }
 
 async function killAndRestart(
   fleet: SoakFleet,
-  hit: readonly GatewayProcess[],
+  gateways: readonly GatewayProcess[],
   random: Random,
 ): Promise<void> {
-  const window = fleet.faults.begin("kill", hit.map((gateway) => gateway.id));
-  await Promise.all(hit.map((gateway) => gateway.program.kill()));
+  const window = fleet.faults.begin(
+    "kill",
+    gateways.map((gateway) => gateway.id),
+  );
+  await Promise.all(gateways.map((gateway) => gateway.program.kill()));
   await delay(random.integer(50, 1_200));
-  for (const gateway of hit) gateway.program.start();
+  for (const gateway of gateways) gateway.program.start();
   await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
@@ -81,8 +84,8 @@
   fleet.plannedStops.push({ gateway: id, life, at: performance.now() });
   program.signal("SIGTERM");
   const exited = program.waitForExit().then(() => true);
-  const limit = delay(BOUNDS.stopWithinMs, false, { ref: false });
-  const hasExited = await Promise.race([exited, limit]);
+  const timeout = delay(BOUNDS.stopWithinMs, false, { ref: false });
+  const hasExited = await Promise.race([exited, timeout]);
   if (!hasExited && program.starts === life) await program.kill();
   program.start();
   fleet.faults.end(window);
@@ -93,8 +96,8 @@
   const window = fleet.faults.begin("reload", [gateway.id], true);
   const seeds = random.shuffle(fleet.gatewayIps).slice(0, 2);
   gateway.rewriteSettings(seeds);
-  const hasSignal = random.fraction() < 0.7;
-  if (hasSignal && gateway.program.isAlive) gateway.program.signal("SIGHUP");
+  const sendsSignal = random.fraction() < 0.7;
+  if (sendsSignal && gateway.program.isAlive) gateway.program.signal("SIGHUP");
   await delay(random.integer(50, 400));
   fleet.faults.end(window);
 }
@@ -122,28 +125,28 @@
  * write the lost items again. */
 async function restoreStore(fleet: SoakFleet, random: Random): Promise<void> {
   const { store } = fleet;
-  const copy = store.copy();
+  const snapshot = store.copy();
   await delay(random.integer(300, 4_000));
   const window = fleet.faults.begin("restore", ["store copy"]);
   store.behaviour = "unavailable";
   await delay(random.integer(50, 600));
   const lost = store.copy();
-  store.restore(copy);
+  store.restore(snapshot);
   store.behaviour = "well";
   await delay(random.integer(0, 2_000));
-  store.rewriteLost(lost, copy);
+  store.rewriteLost(lost, snapshot);
   await delay(FAULT_RECOVERY_MS);
   fleet.faults.end(window);
 }
 
 async function cutFromStore(fleet: SoakFleet, random: Random): Promise<void> {
-  const hit = fleet.gateways.filter(() => random.fraction() < 0.4);
+  const gateways = fleet.gateways.filter(() => random.fraction() < 0.4);
   const mode = random.pick([...CONNECTION_FAULTS, "pass"] as const);
   const delayMs = random.integer(0, 900);
   const window = fleet.faults.begin(`store ${mode}`, ["store"]);
-  for (const gateway of hit) gateway.storeProxy.setMode(mode, delayMs);
+  for (const gateway of gateways) gateway.storeProxy.setMode(mode, delayMs);
   await delay(random.integer(300, 7_000));
-  for (const gateway of hit) gateway.storeProxy.setMode("pass");
+  for (const gateway of gateways) gateway.storeProxy.setMode("pass");
   fleet.faults.end(window);
 }
 
--- a/soak/timing_invariants.ts
+++ b/soak/timing_invariants.ts
@@ -4,7 +4,7 @@
 import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
 
 /** Tolerance added to each bound for network latency and the timers of this process, in milliseconds. */
-const MARGIN_MS = 250;
+const TOLERANCE_MS = 250;
 /** Time after a fault of the store in which gateways may not have received a change, in milliseconds. */
 const STORE_RECOVERY_MS = 3_000;
 /** Largest share of the abandoned requests that may still run after the bound. */
@@ -21,9 +21,9 @@
 };
 
 function checkLeaving(evidence: Evidence): string[] {
-  const { leaveAnnouncements: leavings, runs, faults, lagMs } = evidence;
-  return leavings.flatMap(({ worker, at }) => {
-    const latest = at + BOUNDS.leaveWithinMs + MARGIN_MS + lagMs;
+  const { leaveAnnouncements, runs, faults, lagMs } = evidence;
+  return leaveAnnouncements.flatMap(({ worker, at }) => {
+    const latest = at + BOUNDS.leaveWithinMs + TOLERANCE_MS + lagMs;
     const from = at - STORE_RECOVERY_MS;
     return runs.filter((run) =>
       run.worker === worker && run.startedAt > latest &&
@@ -49,7 +49,7 @@
 
 function checkRevokedKeys(evidence: Evidence): string[] {
   const { versions, attempts, runs, lagMs } = evidence;
-  const runsOf = groupRunsById(runs);
+  const runsById = groupRunsById(runs);
   const revokedAt = new Map(
     versions.slice(0, -1).map(({ key }, index) => [
       key,
@@ -60,7 +60,7 @@
     const at = revokedAt.get(attempt.key);
     if (at === undefined) return [];
     const isLate = attempt.sentAt > at + BOUNDS.revokeWithinMs + lagMs;
-    return isLate && runsOf.has(attempt.requestId)
+    return isLate && runsById.has(attempt.requestId)
       ? [
         `${attempt.requestId} ran ${
           Math.round(attempt.sentAt - at)
@@ -75,7 +75,7 @@
     const { sentAt, endedAt, gaveUpAt, gateway, requestId } = attempt;
     const until = endedAt ?? Infinity;
     const latest = sentAt + KIND_RULES[attempt.kind].timeoutMs +
-      FINAL_ANSWER_GRACE_MS + MARGIN_MS + evidence.lagMs;
+      FINAL_ANSWER_GRACE_MS + TOLERANCE_MS + evidence.lagMs;
     const isLate = (gaveUpAt ?? until) > latest;
     return isLate && !evidence.faults.wasHit(gateway, sentAt, until)
       ? [
@@ -88,15 +88,15 @@
 }
 
 function checkCancelled(evidence: Evidence): string[] {
-  const runsOf = groupRunsById(evidence.runs);
+  const runsById = groupRunsById(evidence.runs);
   const givenUp = evidence.attempts.filter((attempt) =>
     attempt.gaveUpAt !== undefined && KIND_RULES[attempt.kind].mayRepeat &&
     !evidence.faults.wasHit(attempt.gateway, attempt.sentAt, attempt.gaveUpAt)
   );
   const late = givenUp.filter((attempt) => {
-    const latest = attempt.gaveUpAt! + CANCEL_TIMEOUT_MS + MARGIN_MS +
+    const latest = attempt.gaveUpAt! + CANCEL_TIMEOUT_MS + TOLERANCE_MS +
       evidence.lagMs;
-    return runsOf.get(attempt.requestId)?.some((run) =>
+    return runsById.get(attempt.requestId)?.some((run) =>
       (run.endedAt ?? Infinity) > latest &&
       !evidence.faults.wasHit(run.worker, run.startedAt, latest)
     );
@@ -119,34 +119,34 @@
     ...runs.map(({ requestId, startedAt: at }) => ({ requestId, at })),
     ...declines,
   ].sort((a, b) => a.at - b.at);
-  const first = new Set<string>();
-  const repeats = arrivals.filter(({ requestId }) => {
-    const isRepeat = first.has(requestId);
-    first.add(requestId);
-    return isRepeat;
+  const seen = new Set<string>();
+  const retries = arrivals.filter(({ requestId }) => {
+    const isRetry = seen.has(requestId);
+    seen.add(requestId);
+    return isRetry;
   });
   return [...new Set(serviceById.values())].flatMap((service) => {
     const isOfService = ({ requestId }: { requestId: string }) =>
       serviceById.get(requestId) === service;
     return findExcessRetries(
       attempts.filter(isOfService).map((attempt) => attempt.sentAt),
-      repeats.filter(isOfService).map(({ at }) => at),
+      retries.filter(isOfService).map(({ at }) => at),
     ).map((excess) => `${service}: ${excess}`);
   });
 }
 
 /** Finds windows with more retries than their number of requests allows.
  * @param sent Times at which requests were sent.
- * @param repeated Times at which retries arrived. */
-function findExcessRetries(sent: number[], repeated: number[]): string[] {
-  return repeated.flatMap((end) => {
+ * @param retried Times at which retries arrived. */
+function findExcessRetries(sent: number[], retried: number[]): string[] {
+  return retried.flatMap((end) => {
     const from = end - BOUNDS.retryWindowMs;
     const countInside = (times: number[]) =>
       times.filter((at) => at > from && at <= end).length;
-    const count = countInside(repeated);
-    const most = BOUNDS.retryRatio * countInside(sent) + BOUNDS.retryExtra;
-    return count > most
-      ? [`${count} repeats in a window, ${most} allowed`]
+    const count = countInside(retried);
+    const allowed = BOUNDS.retryRatio * countInside(sent) + BOUNDS.retryExtra;
+    return count > allowed
+      ? [`${count} retries in a window, ${allowed} allowed`]
       : [];
   });
 }
