--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -3,7 +3,7 @@
 import { Random } from "../src/random/random.ts";
 import type { Evidence } from "./evidence.ts";
 import { ANSWER_INVARIANTS } from "./answer_invariants.ts";
-import { TIMING_INVARIANTS } from "./timing_invariants.ts";
+import { TIMING_INVARIANTS } from "./judge_times.ts";
 import { describeResult, type SeedResult } from "./seed_result.ts";
 import { SoakCaller } from "./soak_caller.ts";
 import { SOAK_FAULTS } from "./soak_faults.ts";
--- a/tests/soak/invariants_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -3,7 +3,7 @@
 import type { Evidence } from "../../soak/evidence.ts";
 import { FaultLog } from "../../soak/fault_log.ts";
 import { ANSWER_INVARIANTS } from "../../soak/answer_invariants.ts";
-import { TIMING_INVARIANTS } from "../../soak/timing_invariants.ts";
+import { TIMING_INVARIANTS } from "../../soak/judge_times.ts";
 import { CUSTOMER, LASTING_KEY } from "../../soak/soak_fleet.ts";
 import {
   countEvents,
