--- a/soak/gateway_process.ts
+++ b/soak/gateway_process.ts
@@ -3,7 +3,7 @@
 import { ProgramProcess } from "../tools/program_process.ts";
 import { BOUNDS } from "./bounds.ts";
 
-/** Ports of a gateway on its own loopback address. */
+/** Ports of a gateway on the loopback address of that gateway. */
 const PORTS = { caller: 8_101, ready: 8_102, peer: 8_103, locate: 8_104 };
 /** Port of the metrics, as set in the deploy file. */
 const METRICS_PORT = 9_464;
