--- a/soak/caller_attempt.ts
+++ b/soak/caller_attempt.ts
@@ -43,7 +43,7 @@
   kind: RequestKind;
   path: string;
   body: string;
-  /** Values of the prompt headers, separated by `|`, as the worker must receive them. */
+  /** Values of the prompt headers, which only callers set, separated by `|`, as the worker must receive them. */
   prompt: string;
   key: string;
   /** Version of the configuration that the path belongs to; defined for requests of kind `version` only. */
--- a/soak/judge_times.ts
+++ b/soak/judge_times.ts
@@ -3,7 +3,7 @@
 import type { Evidence } from "./evidence.ts";
 import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
 
-/** Tolerance added to the bounds on single requests for network latency and the timers of this process, in milliseconds. */
+/** Tolerance added to the bounds on single requests for network latency and for timers, in milliseconds. */
 const TOLERANCE_MS = 250;
 /** Time after a fault of the store in which gateways may not have received a change, in milliseconds. */
 const STORE_RECOVERY_MS = 3_000;
--- a/soak/worker_run.ts
+++ b/soak/worker_run.ts
@@ -6,7 +6,7 @@
   method: string;
   path: string;
   body: string;
-  /** Values of the prompt headers that callers set, separated by `|`: model, tokens and parts of the prompt. */
+  /** Values of the prompt headers, which only callers set, separated by `|`: model, tokens and parts of the prompt. */
   prompt: string;
   customer: string | undefined;
   /** Last event that the receiver has; 0 if the stream starts at its beginning. */
