--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -1,56 +1,60 @@
-/** Jump of the time of day against the steady clock from which it is noticed, in milliseconds: above what reading two clocks
- * one after the other makes, and far below every age that a decision rests on. */
-const NOTICED_JUMP_MS = 150;
+/** Smallest change of the wall clock relative to the monotonic clock that counts as a jump, in milliseconds. It lies
+ * above the difference that comes from reading two clocks one after the other, and far below every age limit that a
+ * decision uses. */
+const MIN_JUMP_MS = 150;
 
-/** Told of a jump of the time of day in milliseconds; one above 0 may have been a suspension. */
+/** Called with the size of a wall clock jump in milliseconds; a positive jump may have been a suspension. */
 export type JumpListener = (jumpMs: number) => void;
 
-/** Monotonic time that goes on while the machine is suspended. The steady clock stands still then, so that a host which slept
- * would take what it last heard, keys above all, for fresh. The time of day shows it, and can't be told from a step of itself:
- * a step forward is taken for a suspension, which costs a round of hearing; a step back changes nothing. */
+/** Monotonic clock that also counts time during which the machine was suspended. The operating system's monotonic
+ * clock stops during a suspension, so a host that was suspended would take the state it last received, API keys
+ * above all, to be fresh. The wall clock reveals a suspension but cannot tell it from a clock adjustment: a
+ * forward step is therefore treated as a suspension, at the cost of one round of refreshing state, and a backward
+ * step is ignored. */
 export class Clock {
-  /** Time of day less the steady clock, when they were last read. */
-  private offset: number;
-  /** Time that the steady clock has not counted, in milliseconds. */
-  private uncounted = 0;
+  /** Wall clock minus monotonic clock, at the last reading of both. */
+  private offsetMs: number;
+  /** Time that the monotonic clock has not counted, in milliseconds. */
+  private suspendedMs = 0;
   private readonly listeners = new Set<JumpListener>();
 
   private constructor(
-    private readonly readSteady: () => number,
-    private readonly readTimeOfDay: () => number,
+    private readonly readMonotonic: () => number,
+    private readonly readWallClock: () => number,
   ) {
-    this.offset = readTimeOfDay() - readSteady();
+    this.offsetMs = readWallClock() - readMonotonic();
   }
 
   /** Creates a clock.
-   * @param readSteady Reads milliseconds of a steady clock.
-   * @param readTimeOfDay Reads Unix milliseconds. */
+   * @param readMonotonic Reads a monotonic clock, in milliseconds.
+   * @param readWallClock Reads the wall clock, in milliseconds since the Unix epoch. */
   static create(
-    readSteady: () => number = () => performance.now(),
-    readTimeOfDay: () => number = () => Date.now(),
+    readMonotonic: () => number = () => performance.now(),
+    readWallClock: () => number = () => Date.now(),
   ): Clock {
-    return new Clock(readSteady, readTimeOfDay);
+    return new Clock(readMonotonic, readWallClock);
   }
 
-  /** Monotonic milliseconds. A jump shows with the first reading after it, before anything is decided. */
+  /** Returns monotonic milliseconds. The first reading after a jump already includes it, so no decision is made on
+   * the time before the jump. */
   read(): number {
-    const steady = this.readSteady();
-    const offset = this.readTimeOfDay() - steady;
-    const jumpMs = offset - this.offset;
-    this.offset = offset;
-    if (Math.abs(jumpMs) >= NOTICED_JUMP_MS) this.noteJump(jumpMs);
-    return steady + this.uncounted;
+    const monotonicMs = this.readMonotonic();
+    const offsetMs = this.readWallClock() - monotonicMs;
+    const jumpMs = offsetMs - this.offsetMs;
+    this.offsetMs = offsetMs;
+    if (Math.abs(jumpMs) >= MIN_JUMP_MS) this.handleJump(jumpMs);
+    return monotonicMs + this.suspendedMs;
   }
 
-  /** Tells a listener of jumps; returns a function that ends this.
+  /** Registers a listener for wall clock jumps; returns a function that removes it.
    * @param listener The listener. */
   watch(listener: JumpListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  private noteJump(jumpMs: number): void {
-    if (jumpMs > 0) this.uncounted += jumpMs;
+  private handleJump(jumpMs: number): void {
+    if (jumpMs > 0) this.suspendedMs += jumpMs;
     for (const listener of this.listeners) listener(jumpMs);
   }
 }
@@ -58,12 +62,12 @@
 /** The clock of this process. */
 const processClock = Clock.create();
 
-/** Monotonic milliseconds of this process, with the time for which its machine was suspended. */
+/** Returns monotonic milliseconds of this process, including time during which the machine was suspended. */
 export function readClock(): number {
   return processClock.read();
 }
 
-/** Tells a listener of jumps of the time of day; returns a function that ends this.
+/** Registers a listener for wall clock jumps; returns a function that removes it.
  * @param listener The listener. */
 export function watchClock(listener: JumpListener): () => void {
   return processClock.watch(listener);
--- a/src/clock/pause_guard.ts
+++ b/src/clock/pause_guard.ts
@@ -1,7 +1,8 @@
 import { readClock } from "./clock.ts";
-const TICK_MS = 50;
 
-/** Notices that this process did not run for a while, so that nothing is decided on old beliefs. */
+const TICK_INTERVAL_MS = 50;
+
+/** Detects that this process was paused or its machine suspended, so that no decision is based on stale state. */
 export class PauseGuard {
   private lastTick = readClock();
   private stale = false;
@@ -11,11 +12,11 @@
     private readonly thresholdMs: number,
     private readonly onPause: (gapMs: number) => void,
   ) {
-    this.timer = setInterval(() => this.tick(), TICK_MS);
+    this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
   }
 
-  /** Creates a guard.
-   * @param thresholdMs Gap between two ticks that counts as a pause.
+  /** Creates a guard and starts its timer.
+   * @param thresholdMs Smallest gap between two ticks that counts as a pause, in milliseconds.
    * @param onPause Called once for each pause, with the gap in milliseconds. */
   static create(
     thresholdMs: number,
@@ -24,13 +25,13 @@
     return new PauseGuard(thresholdMs, onPause);
   }
 
-  /** Whether the process has run without a pause since it last heard from the outside. */
+  /** Whether the process has run without a pause since its state was last marked fresh. */
   isFresh(): boolean {
     this.tick();
     return !this.stale;
   }
 
-  /** Declares beliefs fresh again, after something was heard from outside. */
+  /** Marks state as fresh again, for instance after a response from a peer. */
   markHeard(): void {
     this.tick();
     this.stale = false;
--- a/src/clock/timeline.ts
+++ b/src/clock/timeline.ts
@@ -1,23 +1,23 @@
 import { readClock } from "./clock.ts";
 
-/** Stops a timer. */
+/** Cancels a timer. */
 export type StopTimer = () => void;
 
-/** Where a task reads the time and sets its timers. */
+/** Time source and timers of a component; tests replace it with virtual time. */
 export interface Timeline {
-  /** Monotonic milliseconds. */
+  /** Returns monotonic milliseconds. */
   read(): number;
-  /** Runs an action at an interval.
-   * @param intervalMs The interval in milliseconds.
+  /** Runs an action repeatedly.
+   * @param intervalMs Time between two runs, in milliseconds.
    * @param action The action. */
   every(intervalMs: number, action: () => void): StopTimer;
-  /** Runs an action once.
-   * @param delayMs Time until then in milliseconds.
+  /** Runs an action once, after a delay.
+   * @param delayMs The delay in milliseconds.
    * @param action The action. */
   after(delayMs: number, action: () => void): StopTimer;
 }
 
-/** The time and the timers of this process. */
+/** Clock and timers of this process. */
 export const processTimeline: Timeline = {
   read: readClock,
   every: (intervalMs, action) => {
--- a/tests/clock/pause_guard_test.ts
+++ b/tests/clock/pause_guard_test.ts
@@ -2,23 +2,23 @@
 import { PauseGuard } from "../../src/clock/pause_guard.ts";
 
 const GAP_MS = 5_000;
-/** What the time of day tells no more exactly than, in milliseconds. */
-const RESOLUTION_MS = 2;
+/** Resolution of the wall clock, in milliseconds. */
+const WALL_CLOCK_RESOLUTION_MS = 2;
 
-test.serial("a guard notices a suspension, though the steady clock stood still", (t) => {
-  const readTimeOfDay = Date.now;
+test.serial("a pause guard detects a suspension during which the monotonic clock stopped", (t) => {
+  const readWallClock = Date.now;
   const gaps: number[] = [];
   const guard = PauseGuard.create(1_000, (gapMs) => gaps.push(gapMs));
   t.true(guard.isFresh());
-  Date.now = () => readTimeOfDay() + GAP_MS;
+  Date.now = () => readWallClock() + GAP_MS;
   try {
     t.false(guard.isFresh());
     t.is(gaps.length, 1);
-    t.true(gaps[0]! >= GAP_MS - RESOLUTION_MS);
+    t.true(gaps[0]! >= GAP_MS - WALL_CLOCK_RESOLUTION_MS);
     guard.markHeard();
     t.true(guard.isFresh());
   } finally {
-    Date.now = readTimeOfDay;
+    Date.now = readWallClock;
     guard.close();
   }
 });
--- a/tests/clock/virtual_timeline.ts
+++ b/tests/clock/virtual_timeline.ts
@@ -3,21 +3,21 @@
 
 interface Timer {
   at: number;
-  /** Order among timers of the same moment. */
-  number: number;
+  /** Orders timers that are due at the same time. */
+  sequence: number;
   action: () => void;
   isStopped: boolean;
 }
 
 function compareTimers(one: Timer, other: Timer): number {
-  return one.at - other.at || one.number - other.number;
+  return one.at - other.at || one.sequence - other.sequence;
 }
 
-/** Time that passes only as a test lets it. */
+/** Timeline whose time advances only when a test advances it. */
 export class VirtualTimeline implements Timeline {
   private readonly timers = new TinyQueue<Timer>([], compareTimers);
   private now = 0;
-  private count = 0;
+  private timerCount = 0;
 
   private constructor() {}
 
@@ -31,10 +31,10 @@
   }
 
   after(delayMs: number, action: () => void): StopTimer {
-    this.count += 1;
+    this.timerCount += 1;
     const timer = {
       at: this.now + delayMs,
-      number: this.count,
+      sequence: this.timerCount,
       action,
       isStopped: false,
     };
@@ -44,16 +44,16 @@
 
   every(intervalMs: number, action: () => void): StopTimer {
     let stop: StopTimer;
-    const repeat = () => {
-      stop = this.after(intervalMs, repeat);
+    const runAndReschedule = () => {
+      stop = this.after(intervalMs, runAndReschedule);
       action();
     };
-    stop = this.after(intervalMs, repeat);
+    stop = this.after(intervalMs, runAndReschedule);
     return () => stop();
   }
 
-  /** Lets time pass and runs the timers that come due in their order.
-   * @param until Milliseconds up to which it passes. */
+  /** Advances the time and runs the timers that come due, in order.
+   * @param until Time to advance to, in milliseconds. */
   runUntil(until: number): void {
     while ((this.timers.peek()?.at ?? Infinity) <= until) {
       const next = this.timers.pop()!;
