--- a/src/errors/answer_table.ts
+++ b/src/errors/answer_table.ts
@@ -1,22 +1,22 @@
 import type { ErrorKind } from "./error_kind.ts";
 
-/** Whether the request that is refused ran on an upstream. */
-export type RanStatement = "no" | "unknown";
+/** Whether a failed request was executed by an upstream. */
+export type ExecutionStatus = "no" | "unknown";
 
-/** What a caller receives for one error kind. */
-export interface AnswerStructure {
+/** Error response for one error kind. */
+export interface ErrorResponse {
   /** HTTP status code. */
   status: number;
-  /** One sentence for a person. */
+  /** Human-readable message of one sentence. */
   message: string;
-  /** `no` is a promise: the request was not run and will not be. */
-  ran: RanStatement;
-  /** Seconds after which a new attempt makes sense, where one does. */
+  /** `no` guarantees that the request was not executed and will not be. */
+  ran: ExecutionStatus;
+  /** Value of `Retry-After` in seconds, if a retry makes sense. */
   retryAfterSeconds?: number;
 }
 
-/** The table from error kind to answer; every refusal the system gives stands here. */
-export const ANSWER_TABLE: Readonly<Record<ErrorKind, AnswerStructure>> = {
+/** Error response for each error kind; every error that the system returns is listed here. */
+export const ANSWER_TABLE: Readonly<Record<ErrorKind, ErrorResponse>> = {
   malformed_request: {
     status: 400,
     message: "The request is not well formed.",
--- a/src/errors/error_kind.ts
+++ b/src/errors/error_kind.ts
@@ -1,4 +1,4 @@
-/** The closed list of reasons for which the system answers anything but a whole answer. */
+/** All error kinds; every response that is not complete and successful has one of them. */
 export const ERROR_KINDS = [
   "malformed_request",
   "request_too_large",
@@ -27,5 +27,5 @@
   "internal",
 ] as const;
 
-/** One member of the closed list of error kinds. */
+/** An error kind. */
 export type ErrorKind = (typeof ERROR_KINDS)[number];
--- a/src/errors/failure.ts
+++ b/src/errors/failure.ts
@@ -1,22 +1,22 @@
-import { ANSWER_TABLE, type RanStatement } from "./answer_table.ts";
+import { ANSWER_TABLE, type ExecutionStatus } from "./answer_table.ts";
 import type { ErrorKind } from "./error_kind.ts";
 
-/** The body that a refused caller receives. */
+/** JSON body of an error response. */
 export interface FailureBody {
   error: {
     kind: ErrorKind;
     message: string;
     detail: string;
-    ran: RanStatement;
+    ran: ExecutionStatus;
   };
 }
 
-/** A refusal of one error kind, with the detail that belongs to this occurrence. */
+/** An error that is returned to a caller: its kind, and a detail specific to this occurrence. */
 export class Failure extends Error {
   private constructor(
     /** The error kind. */
     readonly kind: ErrorKind,
-    /** What exactly was wrong, naming the field where there is one. */
+    /** Specific cause, naming the field if there is one. */
     readonly detail: string,
     private readonly retryAfterSeconds: number | undefined,
   ) {
@@ -25,8 +25,8 @@
 
   /** Creates a failure.
    * @param kind The error kind.
-   * @param detail What exactly was wrong.
-   * @param retryAfterMs Milliseconds after which a new attempt makes sense; by default the time of the answer table. */
+   * @param detail Specific cause.
+   * @param retryAfterMs Time to wait before a retry, in milliseconds; by default the value for the error kind. */
   static create(
     kind: ErrorKind,
     detail: string,
@@ -38,8 +38,8 @@
     return new Failure(kind, detail, seconds);
   }
 
-  /** Turns anything thrown into a failure; what is not one becomes `internal`.
-   * @param thrown The value that was thrown. */
+  /** Converts a thrown value into a failure; anything but a failure becomes `internal`.
+   * @param thrown The thrown value. */
   static from(thrown: unknown): Failure {
     if (thrown instanceof Failure) return thrown;
     return Failure.create(
@@ -48,17 +48,17 @@
     );
   }
 
-  /** The HTTP status code from the answer table. */
+  /** HTTP status code for the error kind. */
   get status(): number {
     return ANSWER_TABLE[this.kind].status;
   }
 
-  /** Whether the request ran, from the answer table. */
-  get ran(): RanStatement {
+  /** Whether the request was executed, for the error kind. */
+  get ran(): ExecutionStatus {
     return ANSWER_TABLE[this.kind].ran;
   }
 
-  /** Headers that tell the caller the kind and when to come back. */
+  /** Response headers: the error kind, whether the request was executed, and `Retry-After` if a retry makes sense. */
   get headers(): Record<string, string> {
     const retryAfter = this.retryAfterSeconds;
     const headers: Record<string, string> = {
@@ -70,7 +70,7 @@
     return headers;
   }
 
-  /** The JSON body for the caller. */
+  /** JSON body of the error response. */
   get body(): FailureBody {
     const { message, ran } = ANSWER_TABLE[this.kind];
     return { error: { kind: this.kind, message, detail: this.detail, ran } };
