--- a/src/settings/describe_issues.ts
+++ b/src/settings/describe_issues.ts
@@ -1,8 +1,8 @@
 import type { z } from "zod";
 
-/** Describes every issue of a failed check, one line each, with its path.
- * @param error The failed check.
- * @param root Name of the checked document, the first part of each path. */
+/** Formats the issues of a failed validation, one line per issue, each prefixed with its path.
+ * @param error The validation error.
+ * @param root Name of the validated document; the first segment of each path. */
 export function describeIssues(error: z.ZodError, root: string): string[] {
   return error.issues.map((issue) => {
     const path = [root, ...issue.path.map(String)].join(".");
--- a/src/settings/load_settings.ts
+++ b/src/settings/load_settings.ts
@@ -5,7 +5,7 @@
 
 /** Parses settings from JSON text.
  * @param text The JSON text.
- * @returns The settings, or every error with its path. */
+ * @returns The settings, or one line per error, each with its path. */
 export function parseSettings(text: string): Result<Settings, string[]> {
   let value: unknown;
   try {
@@ -13,14 +13,15 @@
   } catch (error) {
     return Err([`settings: not JSON: ${(error as Error).message}`]);
   }
-  const checked = settingsSchema.safeParse(value);
-  return checked.success
-    ? Ok(checked.data)
-    : Err(describeIssues(checked.error, "settings"));
+  const parsed = settingsSchema.safeParse(value);
+  return parsed.success
+    ? Ok(parsed.data)
+    : Err(describeIssues(parsed.error, "settings"));
 }
 
-/** Reads and checks a settings file.
- * @param path The file's path. */
+/** Reads and validates a settings file.
+ * @param path Path of the file.
+ * @returns The settings, or one line per error, each with its path. */
 export function loadSettings(path: string): Result<Settings, string[]> {
   try {
     return parseSettings(readFileSync(path, "utf8"));
--- a/src/settings/settings_schema.ts
+++ b/src/settings/settings_schema.ts
@@ -7,17 +7,17 @@
 const limitsSchema = z.strictObject({
   maxBodyBytes: z.number().int().min(1).default(4 * 1024 * 1024),
   maxHeaderBytes: z.number().int().min(1024).default(16 * 1024),
-  /** Time for the head of a request to arrive. */
+  /** Time limit for receiving the headers of a request. */
   headerTimeoutMs: milliseconds.default(5_000),
-  /** Time for a whole request to arrive. */
+  /** Time limit for receiving a whole request. */
   requestTimeoutMs: milliseconds.default(15_000),
   maxOpenRequests: z.number().int().min(1).default(5_000),
-  /** Bytes that may be under way to one caller before the upstream is paused. */
+  /** Bytes that may be in flight to one caller before the upstream's response is paused (flow control). */
   streamWindowBytes: z.number().int().min(16 * 1024).default(256 * 1024),
 });
 
 const routingSchema = z.strictObject({
-  /** How upstreams are chosen; all but `bounded` are baselines for measurements. */
+  /** Load-balancing policy; all but `bounded` are baselines for benchmarks. */
   policy: z.enum([
     "bounded",
     "rendezvous",
@@ -25,84 +25,85 @@
     "least_loaded",
     "power_of_two",
   ]).default("bounded"),
-  /** No engine carries more than this multiple of the mean of its pool. */
+  /** Upper bound of an engine's load, as a multiple of the mean load of its pool. */
   boundMultiple: z.number().min(1.25).max(10).default(2),
-  /** Requests an engine may always carry, however low the mean is. */
+  /** Lower limit of the load bound, in requests, however low the mean is. */
   minimumCap: z.number().int().min(1).default(4),
-  /** Requests that may wait per upstream. */
+  /** Maximum number of queued requests per upstream. */
   queueLimit: z.number().int().min(0).default(256),
-  /** Upstreams that are asked before a request waits in a queue. */
+  /** Number of upstreams that are tried before a request is queued. */
   candidateLimit: z.number().int().min(1).default(8),
-  /** Time in which the owner of an upstream must acknowledge a request. */
+  /** Time limit for the owner of an upstream to acknowledge a request. */
   acceptTimeoutMs: milliseconds.default(700),
-  /** Time allowed for a request that names none. */
+  /** Deadline of a request that specifies none, as a duration. */
   defaultDeadlineMs: milliseconds.default(60_000),
-  /** Silence of an upstream in the middle of an answer that counts as failure. */
+  /** Time without data from an upstream, before or within a response, after which the request counts as failed. */
   stallTimeoutMs: milliseconds.default(4_000),
-  /** Interval at which the owner reads an upstream's report. */
+  /** Interval at which the owner of an upstream polls its load report. */
   reportIntervalMs: milliseconds.default(500),
-  /** Retries allowed per first attempt, over the recent past. */
+  /** Retry budget: retries earned by each first attempt. */
   retryRatio: z.number().min(0).max(1).default(0.2),
-  /** Retries allowed at any time, however few first attempts there were. */
+  /** Retry budget: number of retries that can be saved up; also the initial budget, available before any first
+   * attempt. */
   retryReserve: z.number().int().min(0).default(50),
 });
 
 const membershipSchema = z.strictObject({
   probeIntervalMs: milliseconds.default(500),
   probeTimeoutMs: milliseconds.default(250),
-  /** Peers probed per interval. */
+  /** Number of peers probed per interval. */
   probeFanout: z.number().int().min(1).default(3),
-  /** Time from suspicion until a silent peer counts as dead. */
+  /** Time for which a suspected peer may stay silent before it is declared dead. */
   suspicionMs: milliseconds.default(1_500),
-  /** Gap in the own event loop after which every belief counts as stale. */
+  /** Gap in this process's event loop from which all state received from peers counts as stale. */
   pauseThresholdMs: milliseconds.default(1_000),
 });
 
 const keysSchema = z.strictObject({
-  /** Time for which an idempotency key is remembered. */
+  /** Retention period of an idempotency key. */
   rememberMs: milliseconds.default(600_000),
-  /** Time after which a new witness counts as one that has seen every key. */
+  /** Time after which a new witness is assumed to know of every attempt with a key. */
   settleMs: milliseconds.default(15_000),
-  /** Time a witness has to answer. */
+  /** Time limit for a witness to respond to a vote. */
   voteTimeoutMs: milliseconds.default(600),
-  /** Difference of clocks allowed for when a key carries its time. */
+  /** Tolerated clock skew when the creation time is read from a key (UUID version 7). */
   clockSkewMs: milliseconds.default(2_000),
 });
 
-/** The schema of a router's settings file; unknown fields are refused. */
+/** Schema of a router's settings file; unknown fields are rejected. */
 export const settingsSchema = z.strictObject({
   id: z.string().min(1).max(64),
   partner: z.string().min(1),
   region: z.string().min(1),
   hall: z.string().min(1),
-  /** Where callers connect. */
+  /** Endpoint for callers. */
   http: endpoint,
-  /** Where other routers connect, by TCP and UDP on one port number. */
+  /** Endpoint for other routers, TCP and UDP on the same port number. */
   peer: endpoint,
   platform: z.strictObject({
     url: z.url(),
     watchMs: milliseconds.default(10_000),
     retryMs: milliseconds.default(500),
-    /** Routers per hall that watch the platform; the others hear from peers. */
+    /** Number of routers per hall that watch the platform; the others receive updates from their peers. */
     watchersPerHall: z.number().int().min(1).default(8),
   }),
-  /** Shared by all routers; who does not know it may not speak to their peer port. */
+  /** Secret shared by all routers; hosts without it cannot communicate with the peer port. */
   fleetSecret: z.string().min(16),
   limits: limitsSchema.prefault({}),
   routing: routingSchema.prefault({}),
   membership: membershipSchema.prefault({}),
   keys: keysSchema.prefault({}),
   locate: z.strictObject({
-    /** Time for which a caller may keep an address. */
+    /** Maximum time for which a caller may cache the returned addresses. */
     lifetimeMs: milliseconds.default(5_000),
     addresses: z.number().int().min(1).default(3),
   }).prefault({}),
   drain: z.strictObject({
-    /** Time after which a planned stop ends even with requests in flight. */
+    /** Time limit of a graceful shutdown; it then ends even with requests in flight. */
     limitMs: milliseconds.default(120_000),
   }).prefault({}),
   audit: z.strictObject({
-    /** Records kept for queries. */
+    /** Number of most recent records kept for queries. */
     capacity: z.number().int().min(1).default(2_000),
   }).prefault({}),
   metrics: z.strictObject({
@@ -116,5 +117,5 @@
   ),
 });
 
-/** The settings of one router, with every default filled in. */
+/** Settings of one router, with defaults applied. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/tests/settings/minimal_settings.ts
+++ b/tests/settings/minimal_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a router that name no more than they have to; nothing listens at their ports. */
+/** Router settings with only the required fields; nothing listens on their ports. */
 export const MINIMAL_SETTINGS = {
   id: "r1",
   partner: "kilima",
