--- a/src/configuration_service/host_schema.ts
+++ b/src/configuration_service/host_schema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** One host as the platform lists it: a router, a model engine or a plain service. */
+/** Schema of a host in the platform's host list: a router, a model engine or a host of another service. */
 export const hostSchema = z.object({
   id: z.string().min(1),
   role: z.enum(["router", "engine", "service"]),
@@ -8,26 +8,26 @@
   partner: z.string(),
   region: z.string(),
   hall: z.string(),
-  /** IP number. */
+  /** IP address. */
   address: z.string(),
-  /** Port for requests; on a router the port for callers. */
+  /** Port for requests; for a router, the port for callers. */
   port: z.number().int(),
-  /** Router only: port for other routers. */
+  /** Routers only: port for other routers. */
   peerPort: z.number().int().optional(),
-  /** Engine only: models it serves, each as `model` or `model+adapter`. */
+  /** Engines only: models served, each as `model` or `model+adapter`. */
   models: z.array(z.string()).default([]),
-  /** Service only: name of the service it belongs to. */
+  /** Services only: name of the service that the host belongs to. */
   service: z.string().optional(),
-  /** Requests the upstream takes at once. */
+  /** Maximum number of concurrent requests of the upstream. */
   slots: z.number().int().min(1).default(64),
-  /** Whether the upstream refuses orders with an older fence. */
+  /** Whether the upstream rejects orders with an outdated fencing token. */
   checksFence: z.boolean().default(false),
 });
 
-/** One host of the published list. */
+/** A host in the published host list. */
 export type Host = z.infer<typeof hostSchema>;
 
-/** The published list of hosts; a higher version is newer. */
+/** Schema of the published host list; a higher version is newer. */
 export const hostListSchema = z.object({
   version: z.number().int(),
   hosts: z.array(hostSchema),
--- a/src/configuration_service/platform_client.ts
+++ b/src/configuration_service/platform_client.ts
@@ -11,14 +11,14 @@
   values: z.array(publishedValueSchema),
 });
 
-/** Time beyond a watch's own wait after which an answer is given up. */
-const GRACE_MS = 2_000;
+/** Time limit for connecting, for receiving the body, and for the response headers beyond the wait of a long poll. */
+const NETWORK_TIMEOUT_MS = 2_000;
 
-/** Reads and watches the platform over HTTP; the form of its protocol stands only here. */
+/** HTTP client of the platform's configuration service; no other module depends on its protocol. */
 export class PlatformClient {
   private readonly agent = new Agent({
     connections: 4,
-    connect: { timeout: GRACE_MS },
+    connect: { timeout: NETWORK_TIMEOUT_MS },
   });
 
   private constructor(private readonly url: string) {}
@@ -29,24 +29,24 @@
     return new PlatformClient(url.replace(/\/$/, ""));
   }
 
-  /** Reads the values above a revision, waiting for one to appear.
-   * @param after Revision already known.
-   * @param waitMs Time the platform may hold the call. */
+  /** Reads the values published after a revision, by a long poll if there are none yet.
+   * @param after Latest known revision.
+   * @param waitMs Time for which the platform may hold the request open. */
   async readDocuments(
     after: number,
     waitMs: number,
   ): Promise<PublishedValue[]> {
-    const body = await this.read(
+    const body = await this.getJson(
       `/v1/documents?after=${after}&wait=${waitMs}`,
       waitMs,
     );
     return documentsSchema.parse(body).values;
   }
 
-  /** Reads the host list, waiting for a version other than the known one.
-   * @param version Version already known.
-   * @param reader Name of the reading router.
-   * @param waitMs Time the platform may hold the call. */
+  /** Reads the host list, by a long poll until its version differs from the known one.
+   * @param version Known version.
+   * @param reader Id of the router that reads.
+   * @param waitMs Time for which the platform may hold the request open. */
   async readHosts(
     version: number,
     reader: string,
@@ -55,7 +55,7 @@
     const path = `/v1/hosts?version=${version}&reader=${
       encodeURIComponent(reader)
     }&wait=${waitMs}`;
-    return hostListSchema.parse(await this.read(path, waitMs));
+    return hostListSchema.parse(await this.getJson(path, waitMs));
   }
 
   /** Closes the connections. */
@@ -63,15 +63,15 @@
     await this.agent.destroy();
   }
 
-  private async read(path: string, waitMs: number): Promise<unknown> {
+  private async getJson(path: string, waitMs: number): Promise<unknown> {
     const response = await request(this.url + path, {
       dispatcher: this.agent,
-      headersTimeout: waitMs + GRACE_MS,
-      bodyTimeout: GRACE_MS,
+      headersTimeout: waitMs + NETWORK_TIMEOUT_MS,
+      bodyTimeout: NETWORK_TIMEOUT_MS,
     });
     if (response.statusCode !== 200) {
       await response.body.dump();
-      throw new Error(`platform answered ${response.statusCode}`);
+      throw new Error(`platform responded with status ${response.statusCode}`);
     }
     return await response.body.json();
   }
--- a/src/http/read_retry_after.ts
+++ b/src/http/read_retry_after.ts
@@ -1,27 +1,30 @@
-/** Values of one header, as the client gives them: an array where the header came several times. */
+/** Value of a header as the HTTP client returns it: an array if the header occurs several times. */
 export type HeaderValue = string | string[] | undefined;
 
-/** Form of a `Retry-After` in seconds, fractions included. */
-const SECONDS = /^\d+(\.\d+)?$/;
+/** Format of a `Retry-After` in seconds; fractions are allowed. */
+const SECONDS_PATTERN = /^\d+(\.\d+)?$/;
 
-/** Reads the time that an answer's `Retry-After` asks for, in milliseconds; undefined where it asks for none. Of several the
- * longest counts. A date counts from the answer's own `Date`, so that the clocks of two machines need not agree.
- * @param retryAfter The header's values.
- * @param date The answer's `Date`. */
+/** Returns the delay requested by a response's `Retry-After` header in milliseconds, or undefined if it requests
+ * none. Of several values the longest delay applies. A date is taken relative to the response's own `Date`, so that
+ * the clocks of the two machines need not agree.
+ * @param retryAfter Value of the `Retry-After` header.
+ * @param date Value of the `Date` header. */
 export function readRetryAfter(
   retryAfter: HeaderValue,
   date: HeaderValue,
 ): number | undefined {
-  const sentAt = Date.parse([date ?? ""].flat()[0] ?? "");
-  const times = [retryAfter ?? []].flat()
-    .map((value) => readTime(value.trim(), sentAt))
-    .filter((time) => time > 0);
-  return times.length === 0 ? undefined : Math.max(...times);
+  const sentAtMs = Date.parse([date ?? ""].flat()[0] ?? "");
+  const delaysMs = [retryAfter ?? []].flat()
+    .map((value) => readDelayMs(value.trim(), sentAtMs))
+    .filter((delayMs) => delayMs > 0);
+  return delaysMs.length === 0 ? undefined : Math.max(...delaysMs);
 }
 
-/** Milliseconds that one value asks for; not above 0 where it asks for none or can't be read. */
-function readTime(value: string, sentAt: number): number {
-  if (SECONDS.test(value)) return Number(value) * 1_000;
-  const until = Date.parse(value);
-  return Number.isNaN(until) || Number.isNaN(sentAt) ? 0 : until - sentAt;
+/** Returns the delay requested by one value in milliseconds; 0 or less if it requests none or is malformed. */
+function readDelayMs(value: string, sentAtMs: number): number {
+  if (SECONDS_PATTERN.test(value)) return Number(value) * 1_000;
+  const untilMs = Date.parse(value);
+  return Number.isNaN(untilMs) || Number.isNaN(sentAtMs)
+    ? 0
+    : untilMs - sentAtMs;
 }
--- a/src/polling/poll_loop.ts
+++ b/src/polling/poll_loop.ts
@@ -1,22 +1,24 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { Random } from "../random/random.ts";
 
-/** How one turn of a loop went: the call worked or failed, or this process is not to make it now. */
+/** Outcome of one iteration: the poll succeeded or failed, or was skipped because the loop is not active. */
 export type PollTurn = "worked" | "failed" | "idle";
 
-/** What a loop does and how it is paced. */
+/** The poll of a loop and its timing. */
 export interface PollLoopOptions {
-  /** Makes one call and handles its answer; a throw counts as failure. */
+  /** Sends one request and handles its response; an exception counts as a failure. */
   step: () => Promise<void>;
-  /** Whether this process is to call now; where not, the loop only checks again later. */
+  /** Whether this process should poll now; if not, the loop only checks again later. */
   isActive: () => boolean;
-  /** Mean pause after a turn that did not work, in milliseconds; drawn between half and one and a half of it. */
+  /** Mean delay after an iteration that failed or was idle, in milliseconds; the delay is jittered uniformly between
+   * 0.5 and 1.5 times the mean. */
   getPauseMs: (turn: "failed" | "idle") => number;
-  /** Told after each call, with its error where it failed. */
+  /** Called after each iteration, with the error if the poll failed; a failure caused by closing the loop is not
+   * passed on. */
   onTurn: (turn: PollTurn, error?: unknown) => void;
 }
 
-/** Repeats a long poll until closed. */
+/** Repeats a long poll until the loop is closed. */
 export class PollLoop {
   private readonly abort = new AbortController();
   private readonly random = Random.create();
@@ -24,27 +26,27 @@
   private constructor(private readonly options: PollLoopOptions) {}
 
   /** Creates a loop and starts it.
-   * @param options What it does and how it is paced. */
+   * @param options The poll and its timing. */
   static create(options: PollLoopOptions): PollLoop {
     const loop = new PollLoop(options);
     void loop.run();
     return loop;
   }
 
-  /** Ends the loop after the call under way. */
+  /** Ends the loop after the poll in progress. */
   close(): void {
     this.abort.abort();
   }
 
   private async run(): Promise<void> {
     while (!this.abort.signal.aborted) {
-      const turn = this.options.isActive() ? await this.tryStep() : "idle";
+      const turn = this.options.isActive() ? await this.tryPoll() : "idle";
       if (turn === "idle") this.options.onTurn(turn);
       if (turn !== "worked") await this.pause(this.options.getPauseMs(turn));
     }
   }
 
-  private async tryStep(): Promise<"worked" | "failed"> {
+  private async tryPoll(): Promise<"worked" | "failed"> {
     try {
       await this.options.step();
       this.options.onTurn("worked");
@@ -56,9 +58,9 @@
   }
 
   private async pause(meanMs: number): Promise<void> {
-    const milliseconds = meanMs * (0.5 + this.random.fraction());
-    // A pause that is aborted rejects; the loop then ends by itself.
-    await delay(milliseconds, undefined, { signal: this.abort.signal }).catch(
+    const delayMs = meanMs * (0.5 + this.random.fraction());
+    // Closing the loop aborts the delay, which then rejects; the loop ends at its next check.
+    await delay(delayMs, undefined, { signal: this.abort.signal }).catch(
       () => undefined,
     );
   }
