--- a/src/cli/check_command.ts
+++ b/src/cli/check_command.ts
@@ -5,11 +5,11 @@
 import { loadSettings } from "../settings/load_settings.ts";
 import { EXIT_CODE } from "./exit_code.ts";
 
-/** `beechkeel check`: checks a settings file or a configuration document. */
+/** `beechkeel check`: validates a settings file or a configuration document. */
 export const checkCommand = command({
   name: "check",
   description:
-    "Check a settings file, or with --key a configuration document; prints every error with its path.",
+    "Validate a settings file, or with --key a configuration document; prints every error with its path.",
   args: {
     file: positional({
       type: string,
--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -1,10 +1,10 @@
 /** Exit codes of the program. */
 export const EXIT_CODE = {
-  /** All went well. */
+  /** The command succeeded. */
   ok: 0,
-  /** A checked file has errors, or an answer says so. */
+  /** A file has errors, or a router's response has a status other than 200. */
   refused: 1,
-  /** The arguments are wrong. */
+  /** The arguments are invalid. */
   usage: 2,
   /** A router could not be reached. */
   unreachable: 3,
--- a/src/cli/handle_stop_signals.ts
+++ b/src/cli/handle_stop_signals.ts
@@ -1,18 +1,18 @@
 import process from "node:process";
 import { EXIT_CODE } from "./exit_code.ts";
 
-/** A program that ends by signals. */
+/** A program that is stopped by signals. */
 export interface StoppableProgram {
-  /** Stops as planned; resolves when everything has ended. */
+  /** Shuts down gracefully; resolves when the shutdown is complete. */
   drain(): Promise<void>;
-  /** Stops at once. */
+  /** Stops immediately. */
   close(): Promise<void>;
 }
 
-/** Ends the process as signals ask: by SIGTERM as planned, by SIGINT at once. A signal that comes again while the program
- * stops changes nothing, and one that comes before it has started waits for that.
- * @param starting The program.
- * @param onEnd Called before the process ends. */
+/** Handles stop signals: SIGTERM shuts the program down gracefully, SIGINT immediately. A repeated SIGTERM has no
+ * effect. A signal that arrives before the program has started takes effect once it has.
+ * @param starting The program, once it has started.
+ * @param onEnd Called before the process exits. */
 export function handleStopSignals(
   starting: Promise<StoppableProgram>,
   onEnd: () => void = () => undefined,
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -17,7 +17,7 @@
   name: "beechkeel",
   version: VERSION,
   description:
-    "A router fleet for returning chats. Exit codes: 0 ok, 1 refused, 2 usage, 3 unreachable.",
+    "A router fleet for multi-turn chats. Exit codes: 0 ok, 1 refused, 2 usage, 3 unreachable.",
   cmds: {
     serve: serveCommand,
     check: checkCommand,
@@ -30,8 +30,8 @@
   },
 });
 
-/** Runs the command that the arguments name.
- * @param argv The process's arguments, with the interpreter and the program first. */
+/** Runs the command given by the arguments.
+ * @param argv The arguments of the process, starting with the interpreter and the program. */
 export async function runProgram(argv: string[]): Promise<void> {
   await run(binary(program), argv);
 }
--- a/src/cli/query_commands.ts
+++ b/src/cli/query_commands.ts
@@ -9,15 +9,15 @@
   description: "Address of a router, as ip:port",
 });
 
-/** `beechkeel status`: shows what a router sees and does. */
+/** `beechkeel status`: shows the status of a router. */
 export const statusCommand = command({
   name: "status",
-  description: "Show what a router sees and does.",
+  description: "Show the status of a router.",
   args: { router },
-  handler: (args) => printAnswer(args.router, "/status", {}),
+  handler: (args) => printResponse(args.router, "/status", {}),
 });
 
-/** `beechkeel locate`: asks which addresses to use. */
+/** `beechkeel locate`: shows the router addresses that callers should use. */
 export const locateCommand = command({
   name: "locate",
   description: "Ask a router which addresses callers should use.",
@@ -26,38 +26,38 @@
     hall: option({
       long: "hall",
       type: optional(string),
-      description: "Hall the caller is near",
+      description: "Hall that the caller is near",
     }),
   },
-  handler: ({ router, hall }) => printAnswer(router, "/locate", { hall }),
+  handler: ({ router, hall }) => printResponse(router, "/locate", { hall }),
 });
 
-/** `beechkeel audit`: shows recent changes. */
+/** `beechkeel audit`: shows recent audit records. */
 export const auditCommand = command({
   name: "audit",
   description:
-    "Show a router's recent changes: documents, upstreams taken over, orders.",
+    "Show a router's recent audit records: documents and upstreams taken over.",
   args: {
     router,
     what: option({
       long: "what",
       type: optional(string),
-      description: "Only subjects that start with this",
+      description: "Prefix of the subjects to show",
     }),
     limit: option({
       long: "limit",
       type: optional(string),
-      description: "Most records shown",
+      description: "Maximum number of records to show",
     }),
   },
   handler: ({ router, what, limit }) =>
-    printAnswer(router, "/audit", { what, limit }),
+    printResponse(router, "/audit", { what, limit }),
 });
 
-/** `beechkeel explain`: shows where a chat would go and why. */
+/** `beechkeel explain`: shows which upstream a chat would be routed to, and why. */
 export const explainCommand = command({
   name: "explain",
-  description: "Show where a chat would go and why.",
+  description: "Show which upstream a chat would be routed to, and why.",
   args: {
     router,
     customer: option({
@@ -73,20 +73,20 @@
     chat: option({ long: "chat", type: string, description: "Id of the chat" }),
   },
   handler: ({ router, customer, model, chat }) =>
-    printAnswer(router, "/explain", { customer, model, chat }),
+    printResponse(router, "/explain", { customer, model, chat }),
 });
 
-async function printAnswer(
+async function printResponse(
   address: string,
   path: string,
   query: Record<string, string | undefined>,
 ): Promise<void> {
-  const given = Object.entries(query).filter((
+  const defined = Object.entries(query).filter((
     entry,
   ): entry is [string, string] => entry[1] !== undefined);
   try {
     const response = await request(
-      `http://${address}${path}?${new URLSearchParams(given)}`,
+      `http://${address}${path}?${new URLSearchParams(defined)}`,
     );
     console.log(JSON.stringify(await response.body.json(), null, 2));
     if (response.statusCode !== 200) process.exitCode = EXIT_CODE.refused;
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -5,10 +5,11 @@
 import { EXIT_CODE } from "./exit_code.ts";
 import { handleStopSignals } from "./handle_stop_signals.ts";
 
-/** `beechkeel serve`: runs a router until it is told to stop. */
+/** `beechkeel serve`: runs a router until SIGTERM or SIGINT. */
 export const serveCommand = command({
   name: "serve",
-  description: "Run a router; SIGTERM stops it as planned, SIGINT at once.",
+  description:
+    "Run a router; SIGTERM shuts it down gracefully, SIGINT immediately.",
   args: {
     settings: positional({
       type: string,
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,8 @@
-/** The program's entry: loads only what the command needs, since a gateway starts often and callers wait for it. */
+/** Entry point. Loads only the modules that the command needs, since a gateway starts often while callers wait for
+ * it. */
 import process from "node:process";
 
-/** The command for which nothing but the gateway is loaded. */
+/** Command for which only the gateway is loaded. */
 const GATEWAY_COMMAND = "gateway";
 
 async function main(): Promise<void> {
--- a/tests/cli/program_test.ts
+++ b/tests/cli/program_test.ts
@@ -5,12 +5,12 @@
 import test from "ava";
 import { MINIMAL_SETTINGS } from "../settings/minimal_settings.ts";
 
-interface Ended {
+interface ProgramResult {
   code: number;
   output: string;
 }
 
-async function runProgram(...args: string[]): Promise<Ended> {
+async function runProgram(...args: string[]): Promise<ProgramResult> {
   return await new Promise((resolve) => {
     execFile(
       process.execPath,
@@ -33,7 +33,7 @@
   output: RegExp;
 }[] = [
   {
-    name: "good settings",
+    name: "valid settings",
     content: MINIMAL_SETTINGS,
     args: [],
     code: 0,
@@ -63,17 +63,17 @@
 ];
 
 for (const { name, content, args, code, output } of CASES) {
-  test(`check on ${name} ends with ${code}`, async (t) => {
+  test(`check on ${name} exits with ${code}`, async (t) => {
     const folder = mkdtempSync(`${tmpdir()}/beechkeel-`);
     writeFileSync(`${folder}/file.json`, JSON.stringify(content));
-    const ended = await runProgram("check", `${folder}/file.json`, ...args);
+    const result = await runProgram("check", `${folder}/file.json`, ...args);
     rmSync(folder, { recursive: true });
-    t.is(ended.code, code);
-    t.regex(ended.output, output);
+    t.is(result.code, code);
+    t.regex(result.output, output);
   });
 }
 
-test("the program tells its version and that a router is out of reach", async (t) => {
+test("the program prints its version and exits with 3 if a router is unreachable", async (t) => {
   t.regex((await runProgram("--version")).output, /^\d+\.\d+\.\d+/);
   t.is((await runProgram("status", "127.0.0.1:1")).code, 3);
 });
