--- a/src/actors/actor.ts
+++ b/src/actors/actor.ts
@@ -1,10 +1,10 @@
 import { dispatch, type Ref, spawn, start, stop } from "nact";
 import type { Logger } from "../logging/logger.ts";
 
-/** The messages of an actor: type name to payload. */
+/** Message types of an actor, each with the type of its payload. */
 export type MessageMap = Record<string, unknown>;
 
-/** One handler for each message type. */
+/** One handler per message type. */
 export type Handlers<M extends MessageMap> = {
   [K in keyof M]: (payload: M[K]) => void | Promise<void>;
 };
@@ -15,15 +15,16 @@
   payload: unknown;
 }
 
-/** A nact actor whose behaviour is a table of handlers; a handler that throws is logged and the actor goes on. */
+/** A nact actor defined by a table of message handlers. An exception in a handler is logged, and the actor continues
+ * with the next message. */
 export class Actor<M extends MessageMap> {
   private constructor(private readonly reference: Ref<Envelope>) {}
 
   /** Spawns an actor.
    * @param system The actor system.
    * @param name Unique name of the actor.
-   * @param handlers One handler for each message type.
-   * @param logger Where failures are written. */
+   * @param handlers One handler per message type.
+   * @param logger Logger for exceptions of handlers. */
   static create<M extends MessageMap>(
     system: ActorSystem,
     name: string,
@@ -47,14 +48,14 @@
     );
   }
 
-  /** Sends a message; it is handled after those sent before it.
+  /** Sends a message; messages are handled in the order in which they were sent.
    * @param type The message type.
-   * @param payload What the type carries. */
+   * @param payload Payload of the message. */
   tell<K extends keyof M>(type: K, payload: M[K]): void {
     dispatch(this.reference, { type, payload });
   }
 
-  /** Stops the actor; messages still waiting are dropped. */
+  /** Stops the actor; queued messages are dropped. */
   close(): void {
     stop(this.reference);
   }
@@ -65,8 +66,8 @@
   return start();
 }
 
-/** Stops an actor system with all its actors.
- * @param system The system. */
+/** Stops an actor system and all its actors.
+ * @param system The actor system. */
 export function stopActorSystem(system: ActorSystem): void {
   stop(system);
 }
--- a/src/addresses/split_address.ts
+++ b/src/addresses/split_address.ts
@@ -1,4 +1,4 @@
-/** Host and port of an address, as Node's sockets and servers take them.
+/** Splits an address into the host and port that Node's sockets and servers expect.
  * @param address The address, as ip:port. */
 export function splitAddress(address: string): { host: string; port: number } {
   const [host, port] = address.split(":");
--- a/src/audit/audit_record.ts
+++ b/src/audit/audit_record.ts
@@ -1,15 +1,15 @@
-/** One change in the audit trail. */
+/** One entry of the audit trail. */
 export interface AuditRecord {
   /** Milliseconds since the epoch. */
   at: number;
-  /** What happened, such as `document_accepted` or `upstream_taken_over`. */
+  /** The action, such as `document_accepted` or `upstream_taken_over`. */
   action: string;
-  /** Who caused it: a partner, an operator or a router. */
+  /** The actor: a partner, an operator or a router. */
   who: string;
-  /** What it concerns: a document key, an upstream or a router. */
+  /** The subject: a document key, an upstream or a router. */
   what: string;
-  /** Revision of the document, or 0 where there is none. */
+  /** Revision of the document, or 0 if the subject is not a document. */
   revision: number;
-  /** The reason, for a person. */
+  /** The reason, in human-readable form. */
   why: string;
 }
--- a/src/audit/audit_trail.ts
+++ b/src/audit/audit_trail.ts
@@ -1,7 +1,7 @@
 import type { Logger } from "../logging/logger.ts";
 import type { AuditRecord } from "./audit_record.ts";
 
-/** A bounded window of recent changes, each also written as one log line. */
+/** Keeps the most recent audit records in memory and writes each one as a log line. */
 export class AuditTrail {
   private readonly records: AuditRecord[] = [];
 
@@ -11,24 +11,24 @@
   ) {}
 
   /** Creates an empty trail.
-   * @param capacity Records kept; the oldest are dropped first.
-   * @param logger Where each record is written as well. */
+   * @param capacity Maximum number of records kept; the oldest are dropped first.
+   * @param logger Logger to which each record is also written. */
   static create(capacity: number, logger: Logger): AuditTrail {
     return new AuditTrail(capacity, logger);
   }
 
-  /** Adds a record.
-   * @param record The change, without its time. */
+  /** Adds a record with the current time.
+   * @param record The record, without its time. */
   add(record: Omit<AuditRecord, "at">): void {
-    const dated = { at: Date.now(), ...record };
-    this.records.push(dated);
+    const timestamped = { at: Date.now(), ...record };
+    this.records.push(timestamped);
     if (this.records.length > this.capacity) this.records.shift();
-    this.logger.info(dated, "audit");
+    this.logger.info(timestamped, "audit");
   }
 
-  /** Returns the newest records, oldest first.
-   * @param limit Most records returned.
-   * @param what Only records whose subject starts with this. */
+  /** Returns the most recent records, oldest first.
+   * @param limit Maximum number of records returned.
+   * @param what Prefix that the subject of a returned record must have. */
   getRecent(limit: number, what = ""): AuditRecord[] {
     return this.records.filter((record) => record.what.startsWith(what)).slice(
       -limit,
--- a/src/logging/bounded_logger.ts
+++ b/src/logging/bounded_logger.ts
@@ -1,30 +1,30 @@
 import logfmt from "logfmt";
 import { destination, type Logger, pino } from "pino";
 
-/** Standard output. */
-const STANDARD_OUTPUT = 1;
-/** Bytes gathered before they are written, to save system calls. */
-const BUFFERED_BYTES = 4_096;
-/** Bytes that may wait for a reader that is slow; what comes beyond is dropped. */
-const MAX_WAITING_BYTES = 1024 * 1024;
-/** Lines a second beyond which lines are counted instead of written. */
+/** File descriptor of standard output. */
+const STDOUT_DESCRIPTOR = 1;
+/** Bytes that are buffered before a write, to reduce system calls. */
+const MIN_WRITE_BYTES = 4_096;
+/** Maximum number of bytes buffered for a slow reader; lines beyond it are dropped. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
+/** Maximum number of lines per second; further lines are counted and dropped. */
 const MAX_LINES_PER_SECOND = 400;
-/** Interval at which gathered lines are written, in milliseconds. */
-const FLUSH_INTERVAL_MS = 1_000;
+/** Length of a rate limit window, and interval at which buffered lines are flushed, in milliseconds. */
+const RATE_WINDOW_MS = 1_000;
 
-/** A logger whose volume is bounded and which never waits for its reader. */
+/** Logger with a limited line rate and a limited buffer, which never blocks on a slow reader. */
 export class BoundedLogger {
-  /** Writes lines of key=value pairs. */
+  /** Writes lines in logfmt. */
   readonly logger: Logger;
   private readonly output = destination({
-    dest: STANDARD_OUTPUT,
+    dest: STDOUT_DESCRIPTOR,
     sync: false,
-    minLength: BUFFERED_BYTES,
-    maxLength: MAX_WAITING_BYTES,
+    minLength: MIN_WRITE_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   private readonly timer: NodeJS.Timeout;
-  private lines = 0;
-  private dropped = 0;
+  private windowLines = 0;
+  private droppedLines = 0;
 
   private constructor(hostId: string, level: string) {
     this.logger = pino({
@@ -34,41 +34,41 @@
       timestamp: () => `,"time":"${new Date().toISOString()}"`,
       formatters: { level: (label) => ({ level: label }) },
     }, { write: (line: string) => this.write(line) });
-    this.timer = setInterval(() => this.startSecond(), FLUSH_INTERVAL_MS);
+    this.timer = setInterval(() => this.startWindow(), RATE_WINDOW_MS);
     this.timer.unref();
   }
 
   /** Creates a logger to standard output.
-   * @param hostId Put on every line.
-   * @param level Least level that is written. */
+   * @param hostId Host id added to every line.
+   * @param level Minimum level of the lines written. */
   static create(hostId: string, level: string): BoundedLogger {
     return new BoundedLogger(hostId, level);
   }
 
-  /** Writes what was gathered, for the process is about to end. */
+  /** Flushes buffered lines synchronously before the process exits. */
   close(): void {
     clearInterval(this.timer);
     try {
       this.output.flushSync();
     } catch {
-      // The reader is gone or was slower than the lines; there is nobody left to tell.
+      // The reader has closed the pipe or is too slow; the remaining lines are lost, with nowhere left to report it.
     }
   }
 
   private write(line: string): void {
-    this.lines += 1;
-    if (this.lines > MAX_LINES_PER_SECOND) {
-      this.dropped += 1;
+    this.windowLines += 1;
+    if (this.windowLines > MAX_LINES_PER_SECOND) {
+      this.droppedLines += 1;
       return;
     }
     this.output.write(logfmt.stringify(JSON.parse(line)) + "\n");
   }
 
-  private startSecond(): void {
-    this.lines = 0;
-    if (this.dropped > 0) {
-      const dropped = this.dropped;
-      this.dropped = 0;
+  private startWindow(): void {
+    this.windowLines = 0;
+    if (this.droppedLines > 0) {
+      const dropped = this.droppedLines;
+      this.droppedLines = 0;
       this.logger.warn({ dropped }, "log_lines_dropped");
     }
     this.output.flush();
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -4,16 +4,16 @@
 
 export type { Logger } from "pino";
 
-/** A synchronous stream that rewrites pino's JSON as one line of key=value pairs. */
-const keyValueStream = {
+/** Synchronous stream that converts pino's JSON lines to logfmt. */
+const logfmtStream = {
   write(line: string): void {
     process.stderr.write(logfmt.stringify(JSON.parse(line)) + "\n");
   },
 };
 
-/** Creates the process's logger.
- * @param routerId Put on every line.
- * @param level Least level that is written. */
+/** Creates the logger of a router; it writes to standard error.
+ * @param routerId Router id added to every line.
+ * @param level Minimum level of the lines written. */
 export function createLogger(routerId: string, level: string): Logger {
   return pino({
     level,
@@ -21,5 +21,5 @@
     messageKey: "event",
     timestamp: () => `,"time":"${new Date().toISOString()}"`,
     formatters: { level: (label) => ({ level: label }) },
-  }, keyValueStream);
+  }, logfmtStream);
 }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,13 +1,13 @@
 import { StatsD } from "hot-shots";
 import type { Settings } from "../settings/settings_schema.ts";
 
-/** Sends counters, gauges and timings by StatsD; sends nothing where metrics are off. */
+/** Sends counters, gauges and timings to StatsD; sends nothing if metrics are disabled. */
 export class Metrics {
   private constructor(private readonly client: StatsD) {}
 
   /** Creates the metrics client.
-   * @param settings The metrics part of the settings.
-   * @param routerId Tag put on every value. */
+   * @param settings The `metrics` section of the settings.
+   * @param routerId Value of the `router` tag of every metric. */
   static create(settings: Settings["metrics"], routerId: string): Metrics {
     return new Metrics(
       new StatsD({
@@ -21,9 +21,9 @@
     );
   }
 
-  /** Counts one event.
+  /** Increments a counter.
    * @param name Metric name.
-   * @param tags Dimensions of the event. */
+   * @param tags Tags of the event. */
   count(name: string, tags: Record<string, string> = {}): void {
     this.client.increment(name, 1, tags);
   }
@@ -35,9 +35,9 @@
     this.client.timing(name, milliseconds);
   }
 
-  /** Records a level.
+  /** Sets a gauge.
    * @param name Metric name.
-   * @param value The level. */
+   * @param value The value. */
   gauge(name: string, value: number): void {
     this.client.gauge(name, value);
   }
