--- a/src/launcher.ts
+++ b/src/launcher.ts
@@ -1,20 +1,20 @@
-/** Runs the bundled program from its code cache; without a usable cache the program is compiled from its source. */
+/** Runs the bundled program from its V8 code cache; without a usable cache the program is compiled from source. */
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
 import process from "node:process";
 import { setFlagsFromString } from "node:v8";
 import { Script } from "node:vm";
 
-/** The runtime's own modules that the program loads; set where the launcher is built. */
+/** Built-in Node modules that the program loads; defined when the launcher is built. */
 declare const BUILTIN_MODULES: readonly string[];
 
-/** Flags of the engine. A host serves few requests a second, so that optimizing what runs often costs more than it saves: the
- * HTTP parser's WebAssembly is never optimized, and JavaScript ten times later than by default. */
-const ENGINE_FLAGS = ["--liftoff-only", "--interrupt-budget=600000"];
+/** V8 flags. A host serves few requests per second, so optimizing hot code often costs more than it saves: the
+ * WebAssembly of the HTTP parser is never optimized, and JavaScript is optimized ten times later than by default. */
+const V8_FLAGS = ["--liftoff-only", "--interrupt-budget=600000"];
 
-/** Set to any value, makes the process write what it has compiled to the code cache when it ends. */
+/** Environment variable; set to any value, it makes the process write its compiled code to the code cache on exit. */
 const RECORD_VARIABLE = "BEECHKEEL_RECORD_CODE_CACHE";
 
-/** Signature of the function into which a CommonJS module is wrapped. */
+/** Signature of the CommonJS module wrapper. */
 type ModuleFunction = (
   exports: unknown,
   require: NodeJS.Require,
@@ -24,9 +24,9 @@
 ) => void;
 
 function launch(): void {
-  // A changed flag makes the engine refuse the code cache of modules that are loaded after it.
+  // Once a flag is changed, V8 rejects the code cache of every module that is loaded afterwards.
   for (const name of BUILTIN_MODULES) require(name);
-  for (const flag of ENGINE_FLAGS) setFlagsFromString(flag);
+  for (const flag of V8_FLAGS) setFlagsFromString(flag);
   const path = `${__dirname}/program.cjs`;
   const cachePath = `${path}.cache`;
   const isRecording = process.env[RECORD_VARIABLE] !== undefined;
@@ -47,7 +47,7 @@
   run(exports, require, module, path, __dirname);
 }
 
-/** Reads the cache; V8 itself refuses one that was made from another source, by another version or with other flags. */
+/** Reads the code cache; V8 itself rejects one made from another source, by another version or with other flags. */
 function readCache(path: string): Buffer | undefined {
   return existsSync(path) ? readFileSync(path) : undefined;
 }
--- a/tests/launcher_test.ts
+++ b/tests/launcher_test.ts
@@ -14,15 +14,15 @@
 const PROGRAM =
   `function answer() { return "started"; } console.log(answer());`;
 
-async function makeFolder(): Promise<string> {
+async function createProgramFolder(): Promise<string> {
   const folder = mkdtempSync(`${tmpdir()}/beechkeel-launcher-`);
   await buildLauncher(`${folder}/beechkeel.cjs`, ["node:http"]);
   writeFileSync(`${folder}/program.cjs`, PROGRAM);
   return folder;
 }
 
-/** Runs the program; returns what it wrote, standard output and then errors. */
-function run(folder: string, env: NodeJS.ProcessEnv = {}): string {
+/** Runs the program; returns its standard output followed by its standard error. */
+function runLauncher(folder: string, env: NodeJS.ProcessEnv = {}): string {
   const { stdout, stderr } = spawnSync(
     process.execPath,
     [`${folder}/beechkeel.cjs`],
@@ -31,25 +31,25 @@
   return stdout + stderr;
 }
 
-function record(folder: string): void {
-  run(folder, { BEECHKEEL_RECORD_CODE_CACHE: "1" });
+function recordCodeCache(folder: string): void {
+  runLauncher(folder, { BEECHKEEL_RECORD_CODE_CACHE: "1" });
 }
 
-test("a recorded run leaves a code cache that a later start accepts", async (t) => {
-  const folder = await makeFolder();
+test("a recording run writes a code cache that a later start accepts", async (t) => {
+  const folder = await createProgramFolder();
   try {
-    record(folder);
+    recordCodeCache(folder);
     t.true(statSync(`${folder}/program.cjs.cache`).size > 0);
-    t.is(run(folder), "started\n");
+    t.is(runLauncher(folder), "started\n");
   } finally {
     rmSync(folder, { recursive: true });
   }
 });
 
 test("the program starts without a code cache and writes none", async (t) => {
-  const folder = await makeFolder();
+  const folder = await createProgramFolder();
   try {
-    t.is(run(folder), "started\n");
+    t.is(runLauncher(folder), "started\n");
     t.throws(() => statSync(`${folder}/program.cjs.cache`));
   } finally {
     rmSync(folder, { recursive: true });
@@ -57,21 +57,21 @@
 });
 
 for (
-  const [name, damage] of [
+  const [name, corrupt] of [
     ["truncated", (cache: Buffer) => cache.subarray(0, cache.length / 2)],
-    ["foreign", () => Buffer.from("not a code cache")],
+    ["of another format", () => Buffer.from("not a code cache")],
     ["empty", () => Buffer.alloc(0)],
   ] as const
 ) {
-  test(`the program starts from its source beside a ${name} code cache`, async (t) => {
-    const folder = await makeFolder();
+  test(`the program starts from source if the code cache is ${name}`, async (t) => {
+    const folder = await createProgramFolder();
     try {
-      record(folder);
+      recordCodeCache(folder);
       const path = `${folder}/program.cjs.cache`;
-      writeFileSync(path, damage(readFileSync(path)));
-      const written = run(folder);
-      t.true(written.startsWith("started\n"));
-      t.regex(written, /event=code_cache_refused/);
+      writeFileSync(path, corrupt(readFileSync(path)));
+      const output = runLauncher(folder);
+      t.true(output.startsWith("started\n"));
+      t.regex(output, /event=code_cache_refused/);
     } finally {
       rmSync(folder, { recursive: true });
     }
