--- a/src/clock/pause_guard.ts
+++ b/src/clock/pause_guard.ts
@@ -15,7 +15,7 @@
     this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
   }
 
-  /** Creates a guard and starts its timer.
+  /** Creates a detector and starts its timer.
    * @param thresholdMs Smallest gap between two ticks that counts as a pause, in milliseconds.
    * @param onPause Called once for each pause, with the gap in milliseconds. */
   static create(
