--- a/tests/launcher_test.ts
+++ b/tests/launcher_test.ts
@@ -59,11 +59,11 @@
 for (
   const [name, corrupt] of [
     ["truncated", (cache: Buffer) => cache.subarray(0, cache.length / 2)],
-    ["of another format", () => Buffer.from("not a code cache")],
+    ["foreign", () => Buffer.from("not a code cache")],
     ["empty", () => Buffer.alloc(0)],
   ] as const
 ) {
-  test(`the program starts from source if the code cache is ${name}`, async (t) => {
+  test(`the program starts from source with a ${name} code cache`, async (t) => {
     const folder = await createProgramFolder();
     try {
       recordCodeCache(folder);
