--- a/src/audit/audit_record.ts
+++ b/src/audit/audit_record.ts
@@ -4,7 +4,7 @@
   at: number;
   /** The action, such as `document_accepted` or `upstream_taken_over`. */
   action: string;
-  /** The actor: a partner, an operator or a router. */
+  /** The originator: a partner, an operator or a router. */
   who: string;
   /** The subject: a document key, an upstream or a router. */
   what: string;
--- a/tests/launcher_test.ts
+++ b/tests/launcher_test.ts
@@ -63,7 +63,7 @@
     ["empty", () => Buffer.alloc(0)],
   ] as const
 ) {
-  test(`the program starts from source with a ${name} code cache`, async (t) => {
+  test(`the program starts from source if the code cache is ${name}`, async (t) => {
     const folder = await createProgramFolder();
     try {
       recordCodeCache(folder);
