--- /dev/null
+++ b/soak/answer_invariants.ts
@@ -0,0 +1,208 @@
+import { checkBackoffs, checkLeavingAnswers } from "./availability.ts";
+import { BOUNDS, FAULT_RECOVERY_MS } from "./bounds.ts";
+import { type CallerAttempt, KIND_RULES } from "./caller_attempt.ts";
+import { checkCrashingRequests } from "./crashing_requests.ts";
+import type { Evidence } from "./evidence.ts";
+import { CUSTOMER, LASTING_KEY } from "./soak_fleet.ts";
+import { countEvents, getEventData } from "./stream_text.ts";
+import type { WorkerRun } from "./worker_run.ts";
+
+/** Checks one invariant. Returns a line for each breach. */
+export type InvariantCheck = (evidence: Evidence) => string[];
+
+/** Statuses that state that a request has not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that deny a request that the configuration does not allow. */
+const DENIAL_STATUSES: ReadonlySet<number> = new Set([400, 401, 403, 404, 413]);
+/** Time after the end of a worker's answer in which its last bytes may not have been sent yet, in milliseconds: answers
+ * that the worker had ended were lost when it crashed 0.2 and 0.9 ms later. */
+const FINAL_FLUSH_MS = 5;
+/** Share of a planned stop's duration in which requests must complete; later, those still running may be cut off. */
+const GRACEFUL_STOP_SHARE = 0.83;
+
+/** Checks of the invariants that hold regardless of timing, by the name that is printed with breaches. */
+export const ANSWER_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
+  "an answer is that of its own request, and whole": checkAnswers,
+  "a failure with a worker's seal is the worker's": checkSealedFailures,
+  "what may run once runs once": checkSingleRuns,
+  "what is said not to have run has not": checkNotRunAnswers,
+  "a worker runs what a caller sent": checkUnchanged,
+  "no request reaches more workers than its route allows": checkWorkerCounts,
+  "a configuration never goes back": checkRollbacks,
+  "a sound worker's answer reaches its caller": checkLostAnswers,
+  "nothing proper is denied": checkDenials,
+  "a request that crashed three workers reaches few more":
+    checkCrashingRequests,
+  "a worker that asked for a backoff gets few requests in it": checkBackoffs,
+  "a worker that says it leaves gets no new work from who passed that on":
+    checkLeavingAnswers,
+};
+
+function checkAnswers({ attempts }: Evidence): string[] {
+  return attempts.filter((attempt) => attempt.status === 200).flatMap(
+    (attempt) => {
+      const problem = attempt.seal === undefined
+        ? "success without a seal"
+        : KIND_RULES[attempt.kind].isStream
+        ? findStreamProblem(attempt)
+        : findBodyProblem(attempt);
+      return problem ? [`${attempt.requestId}: ${problem}`] : [];
+    },
+  );
+}
+
+function findBodyProblem(attempt: CallerAttempt): string | undefined {
+  if (!attempt.isWhole) return undefined;
+  const isOwn = attempt.text.includes(`"requestId":"${attempt.requestId}"`);
+  return isOwn && attempt.text.endsWith("}")
+    ? undefined
+    : `whole answer is ${attempt.text.slice(0, 60)}`;
+}
+
+function findStreamProblem(attempt: CallerAttempt): string | undefined {
+  const { text, afterEvent, requestId, path, isWhole } = attempt;
+  const blocks = text.split("\n\n");
+  const rest = blocks.pop();
+  const expected = (index: number) =>
+    `id: ${afterEvent + index + 1}\ndata: ${
+      getEventData(requestId, afterEvent + index + 1, path)
+    }`;
+  const wrong = blocks.findIndex((block, index) => block !== expected(index));
+  if (wrong >= 0) return `event ${wrong + 1} is ${blocks[wrong]}`;
+  const missing = countEvents(path) - afterEvent - blocks.length;
+  if (isWhole && (rest !== "" || missing !== 0)) {
+    return `ends as whole with ${missing} events missing`;
+  }
+  return undefined;
+}
+
+function checkSealedFailures({ attempts, runs }: Evidence): string[] {
+  const statuses = new Set(
+    runs.map((run) => `${run.requestId} ${run.status}`),
+  );
+  return attempts.filter((attempt) =>
+    attempt.status !== undefined && attempt.status !== 200 &&
+    attempt.seal !== undefined &&
+    !statuses.has(`${attempt.requestId} ${attempt.status}`)
+  ).map((attempt) =>
+    `${attempt.requestId}: ${attempt.status} with ${attempt.seal}`
+  );
+}
+
+function checkSingleRuns(evidence: Evidence): string[] {
+  const runsById = groupRunsById(evidence.runs);
+  return evidence.attempts.filter((attempt) =>
+    !KIND_RULES[attempt.kind].mayRepeat &&
+    (runsById.get(attempt.requestId)?.length ?? 0) > 1
+  ).map((attempt) => `${attempt.requestId} ran more than once`);
+}
+
+function checkNotRunAnswers(evidence: Evidence): string[] {
+  const runsById = groupRunsById(evidence.runs);
+  return evidence.attempts.filter((attempt) =>
+    !KIND_RULES[attempt.kind].mayRepeat &&
+    NOT_RUN_STATUSES.has(attempt.status ?? 0) && runsById.has(attempt.requestId)
+  ).map((attempt) => `${attempt.requestId} got ${attempt.status} and ran`);
+}
+
+function checkUnchanged({ attempts, runs }: Evidence): string[] {
+  const attemptById = new Map(
+    attempts.map((attempt) => [attempt.requestId, attempt]),
+  );
+  return runs.flatMap((run) => {
+    const attempt = attemptById.get(run.requestId);
+    if (!attempt) return [`${run.requestId} ran but no caller sent it`];
+    const rules = KIND_RULES[attempt.kind];
+    const isSame = run.method === rules.method && run.path === attempt.path &&
+      run.body === attempt.body && run.prompt === attempt.prompt &&
+      run.service === rules.service && run.customer === CUSTOMER &&
+      run.afterEvent >= attempt.afterEvent;
+    return isSame ? [] : [`${run.requestId} ran as ${JSON.stringify(run)}`];
+  });
+}
+
+function checkWorkerCounts(evidence: Evidence): string[] {
+  const runsById = groupRunsById(evidence.runs);
+  return evidence.attempts.flatMap(({ requestId, kind }) => {
+    const runs = runsById.get(requestId) ?? [];
+    const workers = new Set(runs.map((run) => run.worker)).size;
+    return workers > KIND_RULES[kind].maxAttempts
+      ? [`${requestId} ran on ${workers} workers`]
+      : [];
+  });
+}
+
+/** Finds requests served by an older version of the configuration although they were sent after an answer of the same
+ * start of the gateway had shown a newer one. */
+function checkRollbacks({ attempts }: Evidence): string[] {
+  const served = attempts.filter((attempt) =>
+    attempt.version !== undefined && attempt.status === 200
+  );
+  return served.flatMap((later) => {
+    const newer = served.find((earlier) =>
+      earlier.gateway === later.gateway && earlier.life === later.life &&
+      earlier.version! > later.version! && earlier.endedAt! < later.sentAt
+    );
+    return newer
+      ? [`${later.gateway} served ${later.version} after ${newer.version}`]
+      : [];
+  });
+}
+
+function checkLostAnswers(evidence: Evidence): string[] {
+  const runsById = groupRunsById(evidence.runs);
+  return evidence.attempts.flatMap((attempt) => {
+    const run = runsById.get(attempt.requestId)?.at(-1);
+    if (!run || attempt.isWhole || attempt.gaveUpAt !== undefined) return [];
+    return isUndisturbedRun(run, evidence) &&
+        isUndisturbedAttempt(attempt, evidence)
+      ? [
+        `${attempt.requestId}: ${run.worker} answered, ${attempt.gateway} did not (status ${attempt.status})`,
+      ]
+      : [];
+  });
+}
+
+/** Whether the worker sent its complete answer and no fault affected it meanwhile. */
+function isUndisturbedRun(run: WorkerRun, { faults }: Evidence): boolean {
+  const leftAt = (run.endedAt ?? Infinity) + FINAL_FLUSH_MS;
+  return run.isWhole && !run.wasCancelled &&
+    !faults.wasHit(run.worker, run.startedAt - FAULT_RECOVERY_MS, leftAt);
+}
+
+/** Whether no unplanned fault affected the gateway, and no planned stop was due to cut the request off. */
+function isUndisturbedAttempt(
+  attempt: CallerAttempt,
+  evidence: Evidence,
+): boolean {
+  const { gateway, sentAt, endedAt } = attempt;
+  const until = endedAt ?? Infinity;
+  if (evidence.faults.wasHit(gateway, sentAt, until)) return false;
+  const gracefulMs = BOUNDS.stopWithinMs * GRACEFUL_STOP_SHARE;
+  return !evidence.plannedStops.some((stop) =>
+    stop.gateway === gateway && until > stop.at + gracefulMs &&
+    sentAt < stop.at + BOUNDS.stopWithinMs + FAULT_RECOVERY_MS
+  );
+}
+
+/** Finds denied requests with the permanent key on permanent routes, which each version of the configuration allows. */
+function checkDenials({ attempts }: Evidence): string[] {
+  return attempts.filter((attempt) =>
+    attempt.key === LASTING_KEY && attempt.kind !== "version" &&
+    DENIAL_STATUSES.has(attempt.status ?? 0)
+  ).map((attempt) => `${attempt.requestId} got ${attempt.status}`);
+}
+
+/** Groups runs by request id and keeps their order.
+ * @param runs Runs of workers. */
+export function groupRunsById(
+  runs: readonly WorkerRun[],
+): Map<string, WorkerRun[]> {
+  const runsById = new Map<string, WorkerRun[]>();
+  for (const run of runs) {
+    const known = runsById.get(run.requestId) ?? [];
+    known.push(run);
+    runsById.set(run.requestId, known);
+  }
+  return runsById;
+}
--- a/soak/judge_times.ts
+++ b/soak/judge_times.ts
@@ -1,43 +1,44 @@
-import { BOUNDS, CANCEL_MS, FINAL_ANSWER_MS } from "./bounds.ts";
+import { BOUNDS, CANCEL_TIMEOUT_MS, FINAL_ANSWER_GRACE_MS } from "./bounds.ts";
 import { KIND_RULES } from "./caller_attempt.ts";
 import type { Evidence } from "./evidence.ts";
-import { groupRuns, type Judge } from "./judge_answers.ts";
+import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
 
-/** What is added to each bound for the way and for the timers of this process, in milliseconds. */
-const MARGIN_MS = 250;
-/** Time after trouble of the store in which gateways may not have heard of a change, in milliseconds. */
-const STORE_AFTERMATH_MS = 3_000;
-/** Part of the requests given up that may still be worked on after the bound. */
-const CANCEL_SHARE = 0.25;
+/** Tolerance added to the bounds on single requests for network latency and for timers, in milliseconds. */
+const TOLERANCE_MS = 250;
+/** Time after a fault of the store in which gateways may not have received a change, in milliseconds. */
+const STORE_RECOVERY_MS = 3_000;
+/** Largest share of the abandoned requests that may still run after the bound. */
+const MAX_LATE_SHARE = 0.25;
 
-/** The promises that are about time; they are judged in runs by hand, where the machine is not shared. */
-export const TIME_JUDGES: Readonly<Record<string, Judge>> = {
-  "a leaving worker gets no new work": judgeLeaving,
-  "a key that was taken away is not honoured": judgeRevoked,
-  "a final answer comes by the route's time-out": judgeFinalAnswers,
-  "work ends when its caller has left": judgeCancelled,
-  "retries keep to the budget": judgeRetries,
+/** Checks of the invariants about timing, by the name that is printed with breaches. They are for manual runs on a
+ * machine without other load. */
+export const TIMING_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
+  "a leaving worker gets no new work": checkLeaving,
+  "a key that was taken away is not honoured": checkRevokedKeys,
+  "a final answer comes by the route's time-out": checkFinalAnswers,
+  "work ends when its caller has left": checkCancelled,
+  "retries keep to the budget": checkRetries,
 };
 
-function judgeLeaving(evidence: Evidence): string[] {
-  const { leavings, runs, faults, lagMs } = evidence;
-  return leavings.flatMap(({ worker, at }) => {
-    const latest = at + BOUNDS.leaveWithinMs + MARGIN_MS + lagMs;
-    const from = at - STORE_AFTERMATH_MS;
+function checkLeaving(evidence: Evidence): string[] {
+  const { leaveAnnouncements, runs, faults, lagMs } = evidence;
+  return leaveAnnouncements.flatMap(({ worker, at }) => {
+    const latest = at + BOUNDS.leaveWithinMs + TOLERANCE_MS + lagMs;
+    const from = at - STORE_RECOVERY_MS;
     return runs.filter((run) =>
       run.worker === worker && run.startedAt > latest &&
       !faults.wasHit("store", from, run.startedAt) &&
-      !hitsAnyGateway(evidence, from, run.startedAt)
+      !wasAnyGatewayHit(evidence, from, run.startedAt)
     ).map((run) =>
       `${run.requestId} reached ${worker} ${
         Math.round(run.startedAt - at)
-      } ms after its word`
+      } ms after it announced leaving`
     );
   });
 }
 
-/** Whether a gateway was killed or frozen within a time, which then may send what it took before. */
-function hitsAnyGateway(
+/** Whether any gateway was killed or frozen within an interval; it may then send requests that it accepted before. */
+function wasAnyGatewayHit(
   { faults, attempts }: Evidence,
   from: number,
   to: number,
@@ -46,35 +47,35 @@
   return [...gateways].some((gateway) => faults.wasHit(gateway, from, to));
 }
 
-function judgeRevoked(evidence: Evidence): string[] {
+function checkRevokedKeys(evidence: Evidence): string[] {
   const { versions, attempts, runs, lagMs } = evidence;
-  const runsOf = groupRuns(runs);
-  const takenAt = new Map(
+  const runsById = groupRunsById(runs);
+  const revokedAt = new Map(
     versions.slice(0, -1).map(({ key }, index) => [
       key,
       versions[index + 1]!.at,
     ]),
   );
   return attempts.flatMap((attempt) => {
-    const at = takenAt.get(attempt.key);
+    const at = revokedAt.get(attempt.key);
     if (at === undefined) return [];
-    const isLate = attempt.sentAt > at + BOUNDS.keyBeliefMs + lagMs;
-    return isLate && runsOf.has(attempt.requestId)
+    const isLate = attempt.sentAt > at + BOUNDS.revokeWithinMs + lagMs;
+    return isLate && runsById.has(attempt.requestId)
       ? [
         `${attempt.requestId} ran ${
           Math.round(attempt.sentAt - at)
-        } ms after its key went`,
+        } ms after its key was revoked`,
       ]
       : [];
   });
 }
 
-function judgeFinalAnswers(evidence: Evidence): string[] {
+function checkFinalAnswers(evidence: Evidence): string[] {
   return evidence.attempts.flatMap((attempt) => {
     const { sentAt, endedAt, gaveUpAt, gateway, requestId } = attempt;
     const until = endedAt ?? Infinity;
     const latest = sentAt + KIND_RULES[attempt.kind].timeoutMs +
-      FINAL_ANSWER_MS + MARGIN_MS + evidence.lagMs;
+      FINAL_ANSWER_GRACE_MS + TOLERANCE_MS + evidence.lagMs;
     const isLate = (gaveUpAt ?? until) > latest;
     return isLate && !evidence.faults.wasHit(gateway, sentAt, until)
       ? [
@@ -86,28 +87,29 @@
   });
 }
 
-function judgeCancelled(evidence: Evidence): string[] {
-  const runsOf = groupRuns(evidence.runs);
-  const given = evidence.attempts.filter((attempt) =>
+function checkCancelled(evidence: Evidence): string[] {
+  const runsById = groupRunsById(evidence.runs);
+  const givenUp = evidence.attempts.filter((attempt) =>
     attempt.gaveUpAt !== undefined && KIND_RULES[attempt.kind].mayRepeat &&
     !evidence.faults.wasHit(attempt.gateway, attempt.sentAt, attempt.gaveUpAt)
   );
-  const late = given.filter((attempt) => {
-    const latest = attempt.gaveUpAt! + CANCEL_MS + MARGIN_MS + evidence.lagMs;
-    return runsOf.get(attempt.requestId)?.some((run) =>
+  const late = givenUp.filter((attempt) => {
+    const latest = attempt.gaveUpAt! + CANCEL_TIMEOUT_MS + TOLERANCE_MS +
+      evidence.lagMs;
+    return runsById.get(attempt.requestId)?.some((run) =>
       (run.endedAt ?? Infinity) > latest &&
       !evidence.faults.wasHit(run.worker, run.startedAt, latest)
     );
   });
-  return late.length > given.length * CANCEL_SHARE
+  return late.length > givenUp.length * MAX_LATE_SHARE
     ? [
-      `${late.length} of ${given.length} requests went on after their callers left`,
+      `${late.length} of ${givenUp.length} requests went on after their callers left`,
     ]
     : [];
 }
 
-function judgeRetries({ attempts, runs, declines }: Evidence): string[] {
-  const serviceOf = new Map(
+function checkRetries({ attempts, runs, declines }: Evidence): string[] {
+  const serviceById = new Map(
     attempts.map((attempt) => [
       attempt.requestId,
       KIND_RULES[attempt.kind].service,
@@ -117,32 +119,34 @@
     ...runs.map(({ requestId, startedAt: at }) => ({ requestId, at })),
     ...declines,
   ].sort((a, b) => a.at - b.at);
-  const first = new Set<string>();
-  const repeats = arrivals.filter(({ requestId }) => {
-    const isRepeat = first.has(requestId);
-    first.add(requestId);
-    return isRepeat;
+  const seen = new Set<string>();
+  const retries = arrivals.filter(({ requestId }) => {
+    const isRetry = seen.has(requestId);
+    seen.add(requestId);
+    return isRetry;
   });
-  return [...new Set(serviceOf.values())].flatMap((service) => {
-    const isOwn = ({ requestId }: { requestId: string }) =>
-      serviceOf.get(requestId) === service;
-    return findExcess(
-      attempts.filter(isOwn).map((attempt) => attempt.sentAt),
-      repeats.filter(isOwn).map(({ at }) => at),
+  return [...new Set(serviceById.values())].flatMap((service) => {
+    const isOfService = ({ requestId }: { requestId: string }) =>
+      serviceById.get(requestId) === service;
+    return findExcessRetries(
+      attempts.filter(isOfService).map((attempt) => attempt.sentAt),
+      retries.filter(isOfService).map(({ at }) => at),
     ).map((excess) => `${service}: ${excess}`);
   });
 }
 
-/** The windows with more repeats than the requests in them allow; both are given by their times. */
-function findExcess(sent: number[], repeated: number[]): string[] {
-  return repeated.flatMap((end) => {
+/** Finds windows with more retries than their number of requests allows.
+ * @param sent Times at which requests were sent.
+ * @param retried Times at which retries arrived. */
+function findExcessRetries(sent: number[], retried: number[]): string[] {
+  return retried.flatMap((end) => {
     const from = end - BOUNDS.retryWindowMs;
     const countInside = (times: number[]) =>
       times.filter((at) => at > from && at <= end).length;
-    const count = countInside(repeated);
-    const most = BOUNDS.retryRatio * countInside(sent) + BOUNDS.retryExtra;
-    return count > most
-      ? [`${count} repeats in a window, ${most} allowed`]
+    const count = countInside(retried);
+    const allowed = BOUNDS.retryRatio * countInside(sent) + BOUNDS.retryExtra;
+    return count > allowed
+      ? [`${count} retries in a window, ${allowed} allowed`]
       : [];
   });
 }
