--- a/tests/system/backoff_test.ts
+++ b/tests/system/backoff_test.ts
@@ -8,12 +8,12 @@
 const CUSTOMER = "rodar/dispatch";
 /** Backoff that upstreams ask for, in seconds; longer than a test takes. */
 const BACKOFF_S = 60;
-const BOOKINGS = 60;
+const REQUEST_COUNT = 60;
 /** Requests that a router may send an upstream in a backoff: the one that is turned away, and a report under way. A router
  * that takes another for the owner for a moment, on a busy machine, has a backoff of its own. */
-const MOST_FROM_A_ROUTER = 2;
+const MAX_REQUESTS_PER_ROUTER = 2;
 /** Interval of reports that is longer than a test takes, in milliseconds: the word of answers alone is heard. */
-const NO_REPORTS_MS = 60_000;
+const REPORTS_DISABLED_MS = 60_000;
 
 test.serial("services that ask for a backoff get nothing in it, and callers are served by the others", async (t) => {
   await withFleet({ services: 4 }, async (fleet, caller) => {
@@ -22,14 +22,14 @@
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.book({ customer: CUSTOMER, router }, `shift ${index}`);
     };
-    await waitUntil("bookings run", async () => (await send(0)).whole);
+    await waitUntil("bookings run", async () => (await send(0)).isComplete);
     for (const service of full) service.backoffSeconds = BACKOFF_S;
-    for (let index = 0; index < BOOKINGS; index++) {
-      const answer = await send(index);
-      t.true(answer.whole, answer.kind);
+    for (let index = 0; index < REQUEST_COUNT; index++) {
+      const response = await send(index);
+      t.true(response.isComplete, response.kind);
     }
     const asked = full.map((service) => service.ledger.refusedAt.length);
-    const most = MOST_FROM_A_ROUTER * fleet.routers.length;
+    const most = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
     t.true(asked.every((count) => count <= most), asked.join());
   });
 });
@@ -40,7 +40,7 @@
       const router = fleet.routers[0]!.address;
       return caller.book({ customer: CUSTOMER, router }, "shift");
     };
-    await waitUntil("bookings run", async () => (await send()).whole);
+    await waitUntil("bookings run", async () => (await send()).isComplete);
     const [longer, shorter] = fleet.services;
     longer!.backoffSeconds = 2 * BACKOFF_S;
     shorter!.backoffSeconds = BACKOFF_S;
@@ -70,7 +70,7 @@
       const router = fleet.routers[0]!.address;
       return caller.chat({ customer: "kilima/rosters", router }, chat, ["a"]);
     };
-    await waitUntil("chats run", async () => (await send("c")).whole);
+    await waitUntil("chats run", async () => (await send("c")).isComplete);
     full!.backoffSeconds = BACKOFF_S;
     let chats = 0;
     await waitUntil("it has turned one away", async () => {
@@ -79,29 +79,29 @@
     });
     await delay(100);
     const before = full!.requests;
-    for (let index = 0; index < BOOKINGS; index++) {
-      t.true((await send(`d-${index}`)).whole);
+    for (let index = 0; index < REQUEST_COUNT; index++) {
+      t.true((await send(`d-${index}`)).isComplete);
     }
     t.is(full!.requests, before);
-    t.true(other!.ledger.runs.length >= BOOKINGS);
+    t.true(other!.ledger.runs.length >= REQUEST_COUNT);
   });
 });
 
 test.serial("a service that says in its answers that it leaves gets nothing more, before its next report", async (t) => {
-  const settings = { routing: { reportIntervalMs: NO_REPORTS_MS } };
+  const settings = { routing: { reportIntervalMs: REPORTS_DISABLED_MS } };
   await withFleet({ services: 2, settings }, async (fleet, caller) => {
     const send = (index: number) => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.book({ customer: CUSTOMER, router }, `shift ${index}`);
     };
     const [leaving, staying] = fleet.services;
-    await waitUntil("bookings run", async () => (await send(0)).whole);
+    await waitUntil("bookings run", async () => (await send(0)).isComplete);
     leaving!.saysLeaving = true;
     const before = leaving!.ledger.runs.length;
-    for (let index = 0; index < BOOKINGS; index++) {
-      t.true((await send(index)).whole);
+    for (let index = 0; index < REQUEST_COUNT; index++) {
+      t.true((await send(index)).isComplete);
     }
     t.true(leaving!.ledger.runs.length <= before + 1);
-    t.true(staying!.ledger.runs.length >= BOOKINGS - 1);
+    t.true(staying!.ledger.runs.length >= REQUEST_COUNT - 1);
   });
 });
--- a/tests/system/binary_test.ts
+++ b/tests/system/binary_test.ts
@@ -1,27 +1,27 @@
 import { copyFileSync, mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
 import test from "ava";
-import { BINARY } from "../../tools/bundle_path.ts";
+import { BINARY_PATH } from "../../tools/bundle_path.ts";
 import { withFleet } from "./with_fleet.ts";
 
 test.serial("the one binary serves the whole path with no packages beside it", async (t) => {
   const folder = mkdtempSync(`${tmpdir()}/beechkeel-`);
   const program = `${folder}/beechkeel`;
-  copyFileSync(BINARY, program);
+  copyFileSync(BINARY_PATH, program);
   try {
     await withFleet({ command: [program] }, async (fleet, caller) => {
       const router = fleet.routers[0]!.address;
       t.true(
         (await caller.chat({ customer: "kilima/rosters", router }, "c1", [
           "hello",
-        ])).whole,
+        ])).isComplete,
       );
       t.true(
         (await caller.book(
           { customer: "rodar/dispatch", router },
           "shift 1",
           "key-1",
-        )).whole,
+        )).isComplete,
       );
     });
   } finally {
--- a/tests/system/bound_test.ts
+++ b/tests/system/bound_test.ts
@@ -2,12 +2,12 @@
 import { FakeEngine } from "../../fakes/fake_engine.ts";
 import { auditBound } from "../../tools/bound_audit.ts";
 import type { Fleet } from "../../tools/fleet.ts";
-import { Load, type LoadOptions } from "../../tools/load.ts";
-import { findPlace } from "./find_owner.ts";
+import { LoadGenerator, type LoadOptions } from "../../tools/load_generator.ts";
+import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 /** The multiple and minimum that settings promise by default, and the age a mean may have. */
-const PROMISE = { multiple: 2, minimum: 4, lagMs: 2_000 };
+const LOAD_BOUND = { multiple: 2, minimum: 4, lagMs: 2_000 };
 
 function buildLoad(
   fleet: Fleet,
@@ -17,18 +17,18 @@
   return {
     seed,
     routers: () => fleet.routers.map((router) => router.address),
-    chats,
-    bookers: 0,
-    answerTokens: 40,
-    openingLength: 1_000,
+    chatsByCustomer: chats,
+    bookingLoops: 0,
+    responseTokens: 40,
+    firstMessageLength: 1_000,
     pauseMs: [5, 60],
-    bookingTries: 1,
-    turns: 8,
+    maxBookingAttempts: 1,
+    turnsPerChat: 8,
   };
 }
 
 function countRuns(fleet: Fleet): number {
-  return [...fleet.engines, ...fleet.retired].reduce(
+  return [...fleet.engines, ...fleet.stoppedEngines].reduce(
     (sum, engine) => sum + engine.ledger.runs.length,
     0,
   );
@@ -53,12 +53,14 @@
   },
   "a hall is parted and both sides serve": async (fleet) => {
     const ids = fleet.routers.map((router) => router.id);
-    fleet.mesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
+    fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
     await waitForRuns(fleet, 300);
-    fleet.mesh.part(ids.slice(0, 2), ids.slice(2), "pass");
+    fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "pass");
   },
   "one customer surges twentyfold": async (fleet) => {
-    const surge = Load.start(buildLoad(fleet, 99, { "rodar/dispatch": 80 }));
+    const surge = LoadGenerator.start(
+      buildLoad(fleet, 99, { "rodar/dispatch": 80 }),
+    );
     await waitForRuns(fleet, 600);
     await surge.stop();
   },
@@ -70,7 +72,7 @@
     for (let round = 0; round < 3; round++) {
       const engine = fleet.engines[0]!;
       await engine.close();
-      fleet.retired.push(engine);
+      fleet.stoppedEngines.push(engine);
       await waitForRuns(fleet, 40);
       fleet.engines[0] = await FakeEngine.create({
         ...engine.options,
@@ -83,32 +85,32 @@
 
 for (const [name, inject] of Object.entries(FAULTS)) {
   test.serial(`no engine carries more than the set multiple of the mean while ${name}`, async (t) => {
-    await withFleet({ routers: 5, proxied: true }, async (fleet) => {
-      const load = Load.start(
+    await withFleet({ routers: 5, useProxies: true }, async (fleet) => {
+      const load = LoadGenerator.start(
         buildLoad(fleet, 5, { "kilima/rosters": 20, "kilima/clinics": 4 }),
       );
       await waitForRuns(fleet, 100);
       await inject(fleet);
       await waitForRuns(fleet, 100);
       const result = await load.stop();
-      const report = auditBound(fleet.getEngineLoads(), PROMISE);
+      const report = auditBound(fleet.getEngineLoadHistories(), LOAD_BOUND);
       t.is(report.violations, 0, JSON.stringify(report));
-      t.is(result.wrongChats, 0);
+      t.is(result.mismatchedChats, 0);
     });
   });
 }
 
 test.serial("both sides of a parted fleet together keep one engine to the minimum", async (t) => {
   await withFleet(
-    { routers: 5, proxied: true, engine: { tokenMs: 4 } },
+    { routers: 5, useProxies: true, engine: { tokenMs: 4 } },
     async (fleet, caller) => {
       const chats: string[] = [];
       for (let index = 0; chats.length < 12; index++) {
-        const place = await findPlace(fleet, `chat-${index}`);
+        const place = await findPlacement(fleet, `chat-${index}`);
         if (place.engine === fleet.engines[0]) chats.push(`chat-${index}`);
       }
       const ids = fleet.routers.map((router) => router.id);
-      fleet.mesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
+      fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
       const sides = [{ router: fleet.routers[0]!, heard: 2 }, {
         router: fleet.routers[4]!,
         heard: 3,
@@ -122,7 +124,7 @@
           )
         ),
       );
-      const answers = await Promise.all(chats.map((chat, index) => {
+      const responses = await Promise.all(chats.map((chat, index) => {
         const { router } = sides[index % 2]!;
         return caller.chat(
           { customer: "kilima/rosters", router: router.address },
@@ -131,8 +133,8 @@
           250,
         );
       }));
-      t.true(answers.every((answer) => answer.whole));
-      t.true(fleet.engines[0]!.ledger.peakInFlight <= PROMISE.minimum);
+      t.true(responses.every((response) => response.isComplete));
+      t.true(fleet.engines[0]!.ledger.peakInFlight <= LOAD_BOUND.minimum);
     },
   );
 });
--- a/tests/system/whole_answer_test.ts
+++ b/tests/system/complete_response_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import { getWholeText } from "../../fakes/answer_text.ts";
 import type { EngineFault } from "../../fakes/fake_engine.ts";
-import { findPlace } from "./find_owner.ts";
+import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "kilima/rosters";
-const LONG = 300;
+const LONG_RESPONSE_TOKENS = 300;
 
 for (
   const fault of ["crossed", "truncated", "silent"] satisfies EngineFault[]
@@ -13,16 +13,16 @@
   test.serial(`an engine whose answer is ${fault} never reaches the caller`, async (t) => {
     const settings = { routing: { stallTimeoutMs: 500 } };
     await withFleet({ settings }, async (fleet, caller) => {
-      const place = await findPlace(fleet, "c1");
+      const place = await findPlacement(fleet, "c1");
       place.engine.fault = fault;
-      const answer = await caller.chat(
+      const response = await caller.chat(
         { customer: CUSTOMER, router: place.entry.address },
         "c1",
         ["hello"],
         40,
       );
-      t.true(answer.whole);
-      t.is(answer.text, getWholeText("hello", 40));
+      t.true(response.isComplete);
+      t.is(response.text, getWholeText("hello", 40));
       t.true(
         place.engine.ledger.runs.length + (fault === "silent" ? 1 : 0) > 0,
       );
@@ -33,18 +33,18 @@
 for (const signal of ["SIGKILL", "SIGSTOP"] as const) {
   test.serial(`an answer goes on whole when its owner gets ${signal} in the middle`, async (t) => {
     await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
-      const { engine, owner, entry } = await findPlace(fleet, "c1");
+      const { engine, owner, entry } = await findPlacement(fleet, "c1");
       const answering = caller.chat(
         { customer: CUSTOMER, router: entry.address },
         "c1",
         ["hello"],
-        LONG,
+        LONG_RESPONSE_TOKENS,
       );
-      await waitUntil("some of the answer", () => engine.piecesInFlight > 20);
+      await waitUntil("some of the response", () => engine.piecesInFlight > 20);
       owner.signal(signal);
-      const answer = await answering;
-      t.true(answer.whole);
-      t.is(answer.text, getWholeText("hello", LONG));
+      const response = await answering;
+      t.true(response.isComplete);
+      t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
       t.true(engine.ledger.runs.slice(1).every((run) => run.resumeFrom > 0));
     });
   });
@@ -52,18 +52,18 @@
 
 test.serial("an answer goes on whole on another engine when its engine ends in the middle", async (t) => {
   await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
-    const { engine, entry } = await findPlace(fleet, "c1");
+    const { engine, entry } = await findPlacement(fleet, "c1");
     const answering = caller.chat(
       { customer: CUSTOMER, router: entry.address },
       "c1",
       ["hello"],
-      LONG,
+      LONG_RESPONSE_TOKENS,
     );
-    await waitUntil("some of the answer", () => engine.piecesInFlight > 20);
+    await waitUntil("some of the response", () => engine.piecesInFlight > 20);
     await engine.close();
-    const answer = await answering;
-    t.true(answer.whole);
-    t.is(answer.text, getWholeText("hello", LONG));
+    const response = await answering;
+    t.true(response.isComplete);
+    t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
     const others = fleet.engines.filter((other) => other !== engine).flatMap((
       other,
     ) => other.ledger.runs);
@@ -74,16 +74,16 @@
 
 test.serial("an answer whose entry ends breaks off visibly", async (t) => {
   await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
-    const { engine, entry } = await findPlace(fleet, "c1");
+    const { engine, entry } = await findPlacement(fleet, "c1");
     const answering = caller.chat(
       { customer: CUSTOMER, router: entry.address },
       "c1",
       ["hello"],
-      LONG,
+      LONG_RESPONSE_TOKENS,
     );
-    await waitUntil("some of the answer", () => engine.piecesInFlight > 20);
+    await waitUntil("some of the response", () => engine.piecesInFlight > 20);
     await entry.kill();
-    t.false((await answering).whole);
+    t.false((await answering).isComplete);
     await waitUntil("the engine to be free", () => engine.inFlight === 0);
   });
 });
@@ -91,12 +91,12 @@
 test.serial("a service's answer to another request never reaches the caller", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     for (const service of fleet.services) service.fault = "crossed";
-    const answer = await caller.book({
+    const response = await caller.book({
       customer: "rodar/dispatch",
       router: fleet.routers[0]!.address,
     }, "shift 1");
-    t.is(answer.kind, "outcome_unknown");
-    t.is(answer.ran, "unknown");
+    t.is(response.kind, "outcome_unknown");
+    t.is(response.ran, "unknown");
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 1);
   });
 });
--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -42,9 +42,9 @@
 }
 
 test.serial("an accepted document is in force on every router, also where the platform is out of reach", async (t) => {
-  await withFleet({ proxied: true }, async (fleet) => {
+  await withFleet({ useProxies: true }, async (fleet) => {
     for (const router of fleet.routers.slice(1)) {
-      fleet.platformLinks.get(router.id)!.setMode("freeze");
+      fleet.platformProxies.get(router.id)!.setMode("freeze");
     }
     const revision = publishShare(fleet, 0.4);
     await waitForRevision(fleet.routers, revision);
@@ -126,12 +126,12 @@
         refused.why,
         /document\.partner: rodar may not set what belongs to kilima/,
       );
-      const answer = await caller.chat(
+      const response = await caller.chat(
         { customer: "kilima/rosters", router: router.address },
         "c1",
         ["hello"],
       );
-      t.true(answer.whole);
+      t.true(response.isComplete);
     }
   });
 });
@@ -152,11 +152,11 @@
     t.is(refused.ran, "no");
     fleet.platform.setMode("up");
     await fleet.waitUntilServing();
-    const answer = await caller.chat(
+    const response = await caller.chat(
       { customer: "kilima/rosters", router: first.address },
       "c1",
       ["hello"],
     );
-    t.true(answer.whole);
+    t.true(response.isComplete);
   });
 });
--- a/tests/system/crashing_request_test.ts
+++ b/tests/system/crashing_request_test.ts
@@ -5,39 +5,43 @@
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "kilima/rosters";
-const CRASHING = "a text that crashes";
-const ENGINES = 9;
-const TRIES = 9;
+const CRASHING_TEXT = "a text that crashes";
+const ENGINE_COUNT = 9;
+const ATTEMPT_COUNT = 9;
 /** Engines that may end: two, after which the request is held, and as many for tries that were under way. */
-const MOST_CRASHES = 4;
+const MAX_CRASHES = 4;
 
 test.serial("a chat request that crashes every engine is kept from the rest, whichever router it comes to", async (t) => {
-  await withFleet({ engines: ENGINES }, async (fleet, caller) => {
-    for (const engine of fleet.engines) engine.crashingText = CRASHING;
+  await withFleet({ engines: ENGINE_COUNT }, async (fleet, caller) => {
+    for (const engine of fleet.engines) engine.crashingText = CRASHING_TEXT;
     const send = (index: number, text: string, chat = "c1") => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.chat({ customer: CUSTOMER, router }, chat, [text]);
     };
     let chats = 0;
-    for (let index = 0; index < TRIES; index++) await send(index, CRASHING);
+    for (let index = 0; index < ATTEMPT_COUNT; index++) {
+      await send(index, CRASHING_TEXT);
+    }
     const crashed = fleet.engines.filter((engine) => engine.hasCrashed).length;
-    t.true(crashed <= MOST_CRASHES, `${crashed} engines crashed`);
+    t.true(crashed <= MAX_CRASHES, `${crashed} engines crashed`);
     for (let index = 0; index < fleet.routers.length; index++) {
       await waitUntil(
         "the router refuses it as held",
-        async () => (await send(index, CRASHING)).kind === "crashes_upstreams",
+        async () =>
+          (await send(index, CRASHING_TEXT)).kind === "crashes_upstreams",
       );
-      const refused = await send(index, CRASHING);
+      const refused = await send(index, CRASHING_TEXT);
       t.is(refused.ran, "no");
       t.true(Number(refused.retryAfter) > 0);
       await waitUntil("other chats are served", async () => {
         chats += 1;
-        return (await send(index, "any other text", `other-${chats}`)).whole;
+        return (await send(index, "any other text", `other-${chats}`))
+          .isComplete;
       });
     }
     t.true(
       fleet.engines.filter((engine) => engine.hasCrashed).length <=
-        MOST_CRASHES,
+        MAX_CRASHES,
     );
   });
 });
--- a/tests/system/drain_test.ts
+++ b/tests/system/drain_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
-import { Load } from "../../tools/load.ts";
-import { findBrokenPromises } from "../../tools/verdict.ts";
+import { LoadGenerator } from "../../tools/load_generator.ts";
+import { findInvariantViolations } from "../../tools/invariant_checks.ts";
 import { withFleet } from "./with_fleet.ts";
 
 test.serial("a rolling planned stop of every router cuts off nothing and refuses nothing", async (t) => {
@@ -11,16 +11,16 @@
     engine: { tokenMs: 4 },
     service: { callMs: 30 },
   }, async (fleet) => {
-    const load = Load.start({
+    const load = LoadGenerator.start({
       seed: 11,
       routers: () => fleet.routers.map((router) => router.address),
-      chats: { "kilima/rosters": 12, "rodar/dispatch": 6 },
-      bookers: 8,
-      answerTokens: 60,
-      openingLength: 400,
+      chatsByCustomer: { "kilima/rosters": 12, "rodar/dispatch": 6 },
+      bookingLoops: 8,
+      responseTokens: 60,
+      firstMessageLength: 400,
       pauseMs: [1, 60],
-      bookingTries: 1,
-      turns: 8,
+      maxBookingAttempts: 1,
+      turnsPerChat: 8,
     });
     for (const router of fleet.routers) {
       router.signal("SIGTERM");
@@ -30,17 +30,18 @@
     }
     const result = await load.stop();
     t.is(
-      result.brokenChats + result.wrongChats + result.refusedChats,
+      result.failedChats + result.mismatchedChats + result.refusedChats,
       0,
-      JSON.stringify(result.kinds),
+      JSON.stringify(result.responsesByKind),
     );
     t.is(
-      result.bookings.filter((booking) => !booking.answers[0]!.whole).length,
+      result.bookings.filter((booking) => !booking.responses[0]!.isComplete)
+        .length,
       0,
-      JSON.stringify(result.kinds),
+      JSON.stringify(result.responsesByKind),
     );
     t.deepEqual(
-      findBrokenPromises(
+      findInvariantViolations(
         result,
         fleet.services.flatMap((service) => service.ledger.runs),
       ),
--- a/tests/system/find_owner.ts
+++ b/tests/system/find_placement.ts
@@ -4,7 +4,7 @@
 import type { RouterProcess } from "../../tools/router_process.ts";
 
 /** Who serves a chat. */
-export interface ChatPlace {
+export interface ChatPlacement {
   engine: FakeEngine;
   owner: RouterProcess;
   /** A router that is not the owner. */
@@ -14,10 +14,10 @@
 /** Asks a router where a chat would go.
  * @param fleet The fleet.
  * @param chat Id of the chat of customer kilima/rosters. */
-export async function findPlace(
+export async function findPlacement(
   fleet: Fleet,
   chat: string,
-): Promise<ChatPlace> {
+): Promise<ChatPlacement> {
   const address = fleet.routers[0]!.address;
   const response = await request(
     `http://${address}/explain?customer=kilima/rosters&model=m1&chat=${chat}`,
--- a/tests/system/once_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -13,7 +13,7 @@
   return counts;
 }
 
-function names(fleet: Fleet): string[] {
+function getRouterIds(fleet: Fleet): string[] {
   return fleet.routers.map((router) => router.id);
 }
 
@@ -27,18 +27,20 @@
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
         )
       );
-      const answers = await Promise.all(sendings);
+      const responses = await Promise.all(sendings);
       t.true(
         [...countRuns(fleet.services).values()].every((count) => count === 1),
       );
       t.is(
-        answers.filter((answer) => answer.whole).length +
-          answers.filter((a) => a.ran === "unknown").length,
+        responses.filter((response) => response.isComplete).length +
+          responses.filter((response) => response.ran === "unknown").length,
         100,
       );
       for (const key of keys) {
         t.true(
-          answers.some((answer) => answer.whole && answer.text.includes(key)),
+          responses.some((response) =>
+            response.isComplete && response.text.includes(key)
+          ),
         );
       }
     },
@@ -64,11 +66,13 @@
       await fleet.waitUntilServing();
       for (const router of [first!, ...others]) {
         const options = { customer: CUSTOMER, router: router.address };
-        const answers = await Promise.all(
+        const responses = await Promise.all(
           keys.map((key) => caller.book(options, key, key)),
         );
         t.true(
-          answers.every((answer) => !answer.whole && answer.ran === "unknown"),
+          responses.every((response) =>
+            !response.isComplete && response.ran === "unknown"
+          ),
         );
       }
       t.true(
@@ -79,13 +83,13 @@
 });
 
 test.serial("one key sent to both sides of a parted fleet runs once, and one side runs it", async (t) => {
-  await withFleet({ routers: 5, proxied: true }, async (fleet, caller) => {
-    const ids = names(fleet);
+  await withFleet({ routers: 5, useProxies: true }, async (fleet, caller) => {
+    const ids = getRouterIds(fleet);
     const [left, right] = [ids.slice(0, 2), ids.slice(2)];
-    fleet.mesh.part(left, right, "freeze");
+    fleet.proxyMesh.part(left, right, "freeze");
     const sides = [fleet.routers[0]!, fleet.routers[4]!];
     const keys = Array.from({ length: 24 }, (_, index) => `key-${index}`);
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       keys.flatMap((key) =>
         sides.map((router) =>
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
@@ -95,15 +99,17 @@
     const counts = countRuns(fleet.services);
     t.true([...counts.values()].every((count) => count === 1));
     t.true(
-      answers.filter((answer) => !answer.whole).every((answer) =>
-        answer.ran === "unknown"
+      responses.filter((response) => !response.isComplete).every((response) =>
+        response.ran === "unknown"
       ),
     );
     const byKey = keys.map((key) =>
-      answers.some((answer) => answer.whole && answer.text.includes(`"${key}"`))
+      responses.some((response) =>
+        response.isComplete && response.text.includes(`"${key}"`)
+      )
     );
     t.true(byKey.every((isDone) => isDone));
-    fleet.mesh.part(left, right, "pass");
+    fleet.proxyMesh.part(left, right, "pass");
   });
 });
 
--- a/tests/system/bad_input_test.ts
+++ b/tests/system/invalid_request_test.ts
@@ -157,13 +157,13 @@
         headers,
         body,
       });
-      const answer = await response.body.json() as {
+      const errorBody = await response.body.json() as {
         error: { kind: string; detail: string; ran: string };
       };
       t.is(response.statusCode, status, name);
-      t.is(answer.error.kind, kind, name);
-      t.regex(answer.error.detail, detail, name);
-      t.is(answer.error.ran, "no", name);
+      t.is(errorBody.error.kind, kind, name);
+      t.regex(errorBody.error.detail, detail, name);
+      t.is(errorBody.error.ran, "no", name);
     }
     t.is(countRuns(fleet), 0);
     t.true(
@@ -171,7 +171,7 @@
         { customer: "kilima/rosters", router: address },
         "c1",
         ["hello"],
-      )).whole,
+      )).isComplete,
     );
   });
 });
@@ -204,12 +204,12 @@
       ),
       /403/,
     );
-    const answer = await caller.chat(
+    const response = await caller.chat(
       { customer: "kilima/rosters", router: router.address },
       "c1",
       ["hello"],
     );
-    t.true(answer.whole);
+    t.true(response.isComplete);
   });
 });
 
@@ -227,13 +227,14 @@
     const router = fleet.routers[0]!;
     await waitUntil(
       "the refusal",
-      () => router.log.some((line) => /document_refused.*1000000/.test(line)),
+      () =>
+        router.logLines.some((line) => /document_refused.*1000000/.test(line)),
     );
-    const answer = await caller.chat(
+    const response = await caller.chat(
       { customer: "kilima/rosters", router: router.address },
       "c1",
       ["hello"],
     );
-    t.true(answer.whole);
+    t.true(response.isComplete);
   });
 });
--- a/tests/system/path_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -10,18 +10,18 @@
     const [first, second] = fleet.routers;
     const customer = "kilima/rosters";
     const opening = "the shift history of the whole season ".repeat(20);
-    const answer = await caller.chat(
+    const response = await caller.chat(
       { customer, router: first!.address },
       "c1",
       [opening],
     );
-    t.is(answer.text, getWholeText(opening, 20));
+    t.is(response.text, getWholeText(opening, 20));
     const next = await caller.chat(
       { customer, router: second!.address },
       "c1",
-      [opening, answer.text, "and now?"],
+      [opening, response.text, "and now?"],
     );
-    t.true(next.whole);
+    t.true(next.isComplete);
     const runs = fleet.engines.flatMap((engine) => engine.ledger.runs);
     t.is(runs.length, 2);
     t.true(runs[1]!.cachedTokens >= runs[0]!.promptTokens);
@@ -35,9 +35,9 @@
   const fleet = await Fleet.create();
   const caller = Caller.create();
   try {
-    const answers = [];
+    const responses = [];
     for (const router of fleet.routers) {
-      answers.push(
+      responses.push(
         await caller.book(
           { customer: "rodar/dispatch", router: router.address },
           "shift 1",
@@ -45,9 +45,13 @@
         ),
       );
     }
-    t.deepEqual(answers.map((answer) => answer.status), [200, 200, 200]);
-    t.deepEqual(answers.map((answer) => answer.replayed), [false, true, true]);
-    t.is(new Set(answers.map((answer) => answer.text)).size, 1);
+    t.deepEqual(responses.map((response) => response.status), [200, 200, 200]);
+    t.deepEqual(responses.map((response) => response.isReplayed), [
+      false,
+      true,
+      true,
+    ]);
+    t.is(new Set(responses.map((response) => response.text)).size, 1);
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 1);
   } finally {
     await caller.close();
--- a/tests/system/not_run_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
-import { findBrokenPromises } from "../../tools/verdict.ts";
-import type { BookingRecord } from "../../tools/load.ts";
+import { findInvariantViolations } from "../../tools/invariant_checks.ts";
+import type { BookingRecord } from "../../tools/load_generator.ts";
 import type { RouterStatus } from "../../src/router/router_status.ts";
 import type { RouterProcess } from "../../tools/router_process.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "rodar/dispatch";
 /** Longer than the gap that a router notices. */
-const FREEZE_MS = 1_800;
+const PAUSE_MS = 1_800;
 
 test.serial("what is answered as not run is not run by owners that wake up late", async (t) => {
   await withFleet(
@@ -18,17 +18,17 @@
         id: string,
         timeoutMs: number,
       ): Promise<BookingRecord> => {
-        const answer = await caller.book({
+        const response = await caller.book({
           customer: CUSTOMER,
           router: entry!.address,
           timeoutMs,
         }, id);
-        return { id, keyed: false, answers: [answer] };
+        return { id, hasIdempotencyKey: false, responses: [response] };
       };
       const bookings: BookingRecord[] = [];
       for (const router of others) {
         router.signal("SIGSTOP");
-        const wakesAt = Date.now() + FREEZE_MS;
+        const wakesAt = Date.now() + PAUSE_MS;
         const timeouts = Array.from(
           { length: 15 },
           (_, index) => 20 + index * 60,
@@ -43,7 +43,8 @@
         router.signal("SIGCONT");
         await waitUntil(
           "the owner to notice",
-          () => router.log.some((line) => line.includes("process_was_paused")),
+          () =>
+            router.logLines.some((line) => line.includes("process_was_paused")),
         );
         await router.waitFor(
           (status) =>
@@ -52,9 +53,12 @@
         );
       }
       const runs = fleet.services.flatMap((service) => service.ledger.runs);
-      t.deepEqual(findBrokenPromises({ wrongChats: 0, bookings }, runs), []);
-      t.true(bookings.some((booking) => booking.answers[0]!.ran === "no"));
-      t.true(bookings.some((booking) => booking.answers[0]!.whole));
+      t.deepEqual(
+        findInvariantViolations({ mismatchedChats: 0, bookings }, runs),
+        [],
+      );
+      t.true(bookings.some((booking) => booking.responses[0]!.ran === "no"));
+      t.true(bookings.some((booking) => booking.responses[0]!.isComplete));
     },
   );
 });
@@ -63,11 +67,11 @@
   const settings = { routing: { stallTimeoutMs: 400 } };
   await withFleet({ settings }, async (fleet, caller) => {
     for (const service of fleet.services) service.fault = "silent";
-    const answer = await caller.book({
+    const response = await caller.book({
       customer: CUSTOMER,
       router: fleet.routers[0]!.address,
     }, "shift 1");
-    t.is(answer.kind, "outcome_unknown");
+    t.is(response.kind, "outcome_unknown");
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 1);
   });
 });
@@ -75,12 +79,12 @@
 test.serial("a request that no upstream took is answered at once as not run, with a time to come back", async (t) => {
   await withFleet({ services: 2 }, async (fleet, caller) => {
     for (const service of fleet.services) await service.close();
-    const answer = await caller.book({
+    const response = await caller.book({
       customer: CUSTOMER,
       router: fleet.routers[0]!.address,
     }, "shift 1");
-    t.is(answer.ran, "no");
-    t.true(Number(answer.retryAfter) > 0);
+    t.is(response.ran, "no");
+    t.true(Number(response.retryAfter) > 0);
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 0);
   });
 });
@@ -91,7 +95,7 @@
     engines: 0,
     services: 1,
     slots: 3,
-    proxied: true,
+    useProxies: true,
     service: { callMs: 2_000 },
   };
   await withFleet(options, async (fleet, caller) => {
@@ -116,13 +120,13 @@
     let unanswered = 0;
     const book = async (id: string): Promise<BookingRecord> => {
       unanswered += 1;
-      const answer = await caller.book({
+      const response = await caller.book({
         customer: CUSTOMER,
         router: entry.address,
         timeoutMs: 900,
       }, id);
       unanswered -= 1;
-      return { id, keyed: false, answers: [answer] };
+      return { id, hasIdempotencyKey: false, responses: [response] };
     };
     // An owner that missed a probe of the other router uses one place of three for a while, longer than callers wait; so
     // they come again until three run.
@@ -133,16 +137,16 @@
       }
       return false;
     });
-    fleet.mesh.part([entry.id], [owner.id], "freeze");
+    fleet.proxyMesh.part([entry.id], [owner.id], "freeze");
     const ended = await Promise.all(bookings);
     await owner.waitFor(
       (status) =>
         status.upstreams.every((one) => one.running + one.waiting === 0),
       "idle",
     );
-    t.true(ended.some((booking) => booking.answers[0]!.ran === "no"));
+    t.true(ended.some((booking) => booking.responses[0]!.ran === "no"));
     t.deepEqual(
-      findBrokenPromises({ wrongChats: 0, bookings: ended }, runs),
+      findInvariantViolations({ mismatchedChats: 0, bookings: ended }, runs),
       [],
     );
   });
--- a/tests/system/with_fleet.ts
+++ b/tests/system/with_fleet.ts
@@ -2,8 +2,8 @@
 import { Caller } from "../../tools/caller.ts";
 import { Fleet, type FleetOptions } from "../../tools/fleet.ts";
 
-const POLL_MS = 10;
-const WAIT_LIMIT_MS = 30_000;
+const POLL_INTERVAL_MS = 10;
+const WAIT_TIMEOUT_MS = 30_000;
 
 /** Runs a test body on a fleet of its own and ends the fleet after it.
  * @param options What the fleet is made of.
@@ -23,16 +23,16 @@
 }
 
 /** Waits until a condition holds; throws where it never does.
- * @param what What is waited for.
- * @param isMet The condition. */
+ * @param description What is waited for.
+ * @param condition The condition. */
 export async function waitUntil(
-  what: string,
-  isMet: () => boolean | Promise<boolean>,
+  description: string,
+  condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const endsAt = performance.now() + WAIT_LIMIT_MS;
-  while (performance.now() < endsAt) {
-    if (await isMet()) return;
-    await delay(POLL_MS);
+  const deadline = performance.now() + WAIT_TIMEOUT_MS;
+  while (performance.now() < deadline) {
+    if (await condition()) return;
+    await delay(POLL_INTERVAL_MS);
   }
-  throw new Error(`${what} did not come about`);
+  throw new Error(`${description} did not come about`);
 }
--- a/tests/tools/known_red_test.ts
+++ b/tests/tools/known_red_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
-import { judgeRun } from "../../tools/known_red.ts";
+import { classifyFailures } from "../../tools/known_red.ts";
 
 const LIST = "# comment\na › listed test | cause | 8\n";
 
 test("a run passes over listed tests only", (t) => {
   const both = '  ✘ [fail]: a › listed test {"x":1}\n  ✘ [fail]: b › other\n';
-  t.deepEqual(judgeRun(both, LIST), {
+  t.deepEqual(classifyFailures(both, LIST), {
     known: ["a › listed test"],
     unknown: ["✘ [fail]: b › other"],
   });
@@ -20,7 +20,11 @@
       "  ✘ Timed out while running tests",
     ]
   ) {
-    t.is(judgeRun(`${listed}${trouble}\n`, LIST).unknown.length, 1, trouble);
+    t.is(
+      classifyFailures(`${listed}${trouble}\n`, LIST).unknown.length,
+      1,
+      trouble,
+    );
   }
-  t.is(judgeRun("", LIST).unknown.length, 1);
+  t.is(classifyFailures("", LIST).unknown.length, 1);
 });
--- a/tests/tools/prompt_losses_test.ts
+++ b/tests/tools/prompt_cache_misses_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { parseLogLine } from "../../tools/log_line.ts";
-import { PromptLosses } from "../../tools/prompt_losses.ts";
+import { PromptCacheMisses } from "../../tools/prompt_cache_misses.ts";
 
 const ENGINES = ["e-0", "e-1", "e-2"];
 
@@ -11,7 +11,7 @@
 }
 
 function count(...texts: readonly string[]) {
-  const losses = PromptLosses.create();
+  const losses = PromptCacheMisses.create();
   const published = ENGINES.map((engine, index) =>
     write(
       0,
@@ -20,9 +20,9 @@
     )
   );
   for (const text of [...published, ...texts]) {
-    losses.take(parseLogLine(text)!);
+    losses.processLine(parseLogLine(text)!);
   }
-  return losses.getLosses();
+  return losses.getMisses();
 }
 
 function send(second: number, engine: string, kept: number, fetchFrom = "") {
@@ -40,10 +40,10 @@
 
 test("a prompt that leaves a sound engine is moved, or fetched in vain where the wrong one is named", (t) => {
   t.deepEqual(count(send(1, "e-0", 0), send(2, "e-1", 0, "10.0.0.0:1")), [
-    { fate: "moved", holders: "sound", requests: 1, tokens: 100 },
+    { outcome: "moved", holders: "sound", requests: 1, tokens: 100 },
   ]);
   t.deepEqual(count(send(1, "e-0", 0), send(2, "e-1", 40, "10.0.0.2:1")), [
-    { fate: "fetched in vain", holders: "sound", requests: 1, tokens: 60 },
+    { outcome: "fetched in vain", holders: "sound", requests: 1, tokens: 60 },
   ]);
 });
 
--- a/tools/bench.ts
+++ b/tools/bench.ts
@@ -1,36 +1,39 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import { benchControl } from "./bench_control.ts";
-import { benchPath } from "./bench_path.ts";
+import { benchRoutingOverhead } from "./bench_routing_overhead.ts";
 import { benchPolicies } from "./bench_policies.ts";
 
-const REPORT = "reports/bench.json";
+const REPORT_PATH = "reports/bench.json";
 
-/** Shows a number with at most three digits behind the point. */
-function round(value: unknown): unknown {
+/** Rounds numbers to three decimal places; returns other values unchanged. */
+function roundNumber(value: unknown): unknown {
   return typeof value === "number" ? Number(value.toFixed(3)) : value;
 }
 
-function toTable(rows: readonly object[]): void {
+function printTable(rows: readonly object[]): void {
   console.table(
     rows.map((row) =>
       Object.fromEntries(
-        Object.entries(row).map(([name, value]) => [name, round(value)]),
+        Object.entries(row).map(([name, value]) => [name, roundNumber(value)]),
       )
     ),
   );
 }
 
-const path = await benchPath();
+const overhead = await benchRoutingOverhead();
 console.log(
-  "The way through the routers (microseconds; events per second of processor time):",
+  "Routing overhead (latency in microseconds; events per second of CPU time):",
 );
-toTable([path]);
+printTable([overhead]);
 const control = await benchControl();
-console.log("Control of one router without load:");
-toTable(control);
+console.log("Control-plane cost of one idle router:");
+printTable(control);
 const policies = await benchPolicies();
-console.log("Policies side by side, same seed:");
-toTable(policies);
+console.log("Placement policies under the same seed:");
+printTable(policies);
 mkdirSync("reports", { recursive: true });
-writeFileSync(REPORT, JSON.stringify({ path, control, policies }, null, 2));
-console.log(`written to ${REPORT}`);
+writeFileSync(
+  REPORT_PATH,
+  JSON.stringify({ path: overhead, control, policies }, null, 2),
+);
+console.log(`written to ${REPORT_PATH}`);
--- a/tools/bench_control.ts
+++ b/tools/bench_control.ts
@@ -3,24 +3,24 @@
 import { Fleet } from "./fleet.ts";
 
 const SETTLE_MS = 4_000;
-const RUN_MS = 6_000;
+const MEASUREMENT_MS = 6_000;
 const FLEET_SIZES = [3, 7, 15, 31];
 const ENGINES_PER_ROUTER = 3;
 
-/** What control costs one router of a fleet without load, on average. */
+/** Mean control-plane cost of one router in an idle fleet. */
 export interface ControlRow {
   routers: number;
   engines: number;
   bytesPerSecond: number;
   messagesPerSecond: number;
-  /** Part of one core, in percent. */
+  /** CPU use of one core, in percent. */
   processorPercent: number;
   memoryMegabytes: number;
-  /** Milliseconds until a published document was in force on every router. */
+  /** Time until a published document was in force on every router, in milliseconds. */
   inForceMs: number;
 }
 
-/** Measures control traffic against the size of the fleet. */
+/** Measures control traffic and resource use for several fleet sizes. */
 export async function benchControl(): Promise<ControlRow[]> {
   const rows: ControlRow[] = [];
   for (const routers of FLEET_SIZES) rows.push(await runSize(routers));
@@ -33,11 +33,12 @@
   try {
     await delay(SETTLE_MS);
     const before = await readStatuses(fleet);
-    await delay(RUN_MS);
+    await delay(MEASUREMENT_MS);
     const after = await readStatuses(fleet);
-    const mean = (pick: (status: RouterStatus) => number) => {
+    const mean = (select: (status: RouterStatus) => number) => {
       const sum = after.reduce(
-        (total, status, index) => total + pick(status) - pick(before[index]!),
+        (total, status, index) =>
+          total + select(status) - select(before[index]!),
         0,
       );
       const seconds = after[0]!.process.uptimeSeconds -
@@ -57,7 +58,7 @@
         10_000,
       memoryMegabytes: after.reduce((sum, status) =>
         sum + status.process.memoryBytes, 0) / routers / 1e6,
-      inForceMs: await measureInForce(fleet),
+      inForceMs: await measurePropagationMs(fleet),
     };
   } finally {
     await fleet.close();
@@ -71,8 +72,8 @@
   return statuses.filter((status) => status !== undefined);
 }
 
-/** Publishes a document and waits until every router has it. */
-async function measureInForce(fleet: Fleet): Promise<number> {
+/** Publishes a document and returns the milliseconds until it is in force on every router. */
+async function measurePropagationMs(fleet: Fleet): Promise<number> {
   const value = {
     kind: "customer",
     partner: "kilima",
@@ -85,7 +86,7 @@
     fleet.routers.map((router) =>
       router.waitFor(
         (status) => status.configuration.revision >= revision,
-        "the document",
+        "the published document to be in force",
       )
     ),
   );
--- a/tools/bench_load_bound.ts
+++ b/tools/bench_load_bound.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:bound`: how many requests real gateways send to engines above the load bound. */
+/** `npm run bench:bound`: counts requests that real gateways send to engines above the load bound. */
 import process from "node:process";
 import { setTimeout as delay } from "node:timers/promises";
 import { command, number, option, run } from "cmd-ts";
@@ -13,16 +13,16 @@
 import { Random } from "../src/random/random.ts";
 import { TimedEngine } from "./timed_engine.ts";
 
-/** Promised multiple of the mean load, as gateways take it by default. */
+/** Load bound as a multiple of the mean load; the default of the gateways. */
 const BOUND_MULTIPLE = 2;
-/** Time in which gateways find the engines before there is traffic, in milliseconds. */
+/** Time allowed for gateways to discover the engines before traffic starts, in milliseconds. */
 const SETTLE_MS = 2_000;
-/** Time of traffic before prompts become popular, in milliseconds. */
-const HOT_FROM_MS = 5_000;
-/** Version of the configuration; above those that the fleet publishes by itself. */
-const VERSION = 1_000;
-/** Longest time of a request, in milliseconds. */
-const TIMEOUT_MS = 12_000;
+/** Time after the start of traffic at which some prompts become popular, in milliseconds. */
+const HOT_PROMPTS_START_MS = 5_000;
+/** Configuration version; higher than those that the fleet publishes itself. */
+const CONFIGURATION_VERSION = 1_000;
+/** Request timeout, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 12_000;
 
 interface BenchOptions {
   hosts: number;
@@ -35,13 +35,13 @@
 
 function publishRoutes(fleet: SoakFleet): void {
   fleet.store.put("op/config", {
-    version: VERSION,
+    version: CONFIGURATION_VERSION,
     routes: KIND_NAMES.map((name) => ({
       name,
       host: HOST,
       path_prefix: `/${name}/`,
       route_kind: "streaming",
-      timeout_ms: TIMEOUT_MS,
+      timeout_ms: REQUEST_TIMEOUT_MS,
       slo_ms: 600,
       service: "engine",
       max_attempts: 1,
@@ -53,8 +53,8 @@
   });
 }
 
-/** Sends one request and reads its answer; returns its status, or 0 where the connection broke. */
-async function call(
+/** Sends one request and reads the response; returns its status code, or 0 if the connection failed. */
+async function sendRequest(
   agent: Agent,
   address: string,
   id: number,
@@ -70,7 +70,7 @@
           host: HOST,
           "x-api-key": LASTING_KEY,
           "x-beechkeel-attempt-id": `bench-${id}`,
-          "x-beechkeel-deadline-ms": String(TIMEOUT_MS),
+          "x-beechkeel-deadline-ms": String(REQUEST_TIMEOUT_MS),
           "x-beechkeel-model": "m",
           "x-beechkeel-token-usage": `${tokens + 100},400`,
           "x-beechkeel-prefix-hash": `${prompt.toString(16)}:${tokens},f${
@@ -87,7 +87,7 @@
   }
 }
 
-async function send(
+async function sendTraffic(
   fleet: SoakFleet,
   options: BenchOptions,
 ): Promise<Record<number, number>> {
@@ -97,7 +97,7 @@
     requestsPerSecond: rate,
     hotShare: hot,
     hotPrompts: 1,
-    hotFromMs: HOT_FROM_MS,
+    hotFromMs: HOT_PROMPTS_START_MS,
     hotForMs: Infinity,
   }, random);
   const agent = new Agent({ connections: null });
@@ -107,12 +107,14 @@
   let nextAt = startedAt;
   while (nextAt < startedAt + seconds * 1_000) {
     await delay(Math.max(0, nextAt - performance.now()));
-    const drawn = traffic.drawRequest(nextAt - startedAt);
+    const nextRequest = traffic.drawRequest(nextAt - startedAt);
     const { callerAddress } = random.pick(fleet.gateways);
     calls.push(
-      call(agent, callerAddress, calls.length, drawn).then((status) => {
-        statuses[status] = (statuses[status] ?? 0) + 1;
-      }),
+      sendRequest(agent, callerAddress, calls.length, nextRequest).then(
+        (status) => {
+          statuses[status] = (statuses[status] ?? 0) + 1;
+        },
+      ),
     );
     nextAt += traffic.drawPauseMs();
   }
@@ -131,26 +133,32 @@
   });
   const ledger = BoundLedger.create(BOUND_MULTIPLE);
   const engines: TimedEngine[] = [];
-  const noteArrival = (held: number) =>
+  const recordArrival = (held: number) =>
     ledger.note(performance.now(), held, engines);
   try {
     for (let index = 0; index < options.engines; index++) {
-      const engine = await TimedEngine.create(`engine-${index}`, noteArrival);
+      const engine = await TimedEngine.create(`engine-${index}`, recordArrival);
       engines.push(engine);
-      fleet.store.put(`servers/${engine.id}`, engine.describe("engine"));
+      fleet.store.put(
+        `servers/${engine.id}`,
+        engine.buildServerEntry("engine"),
+      );
     }
     publishRoutes(fleet);
     await delay(SETTLE_MS);
-    const statuses = await send(fleet, options);
+    const statuses = await sendTraffic(fleet, options);
     const { worst, mostAbove, requests } = ledger;
-    const read = engines.reduce((sum, engine) => sum + engine.readTokens, 0);
+    const prefilledTokens = engines.reduce(
+      (sum, engine) => sum + engine.prefilledTokens,
+      0,
+    );
     console.table([{
       ...options,
       requests,
       "worst 5 s": `${worst.above} of ${worst.requests}`,
       part: Number(getPart(worst).toFixed(4)),
       "most above": Number(mostAbove.toFixed(1)),
-      "tokens read": read,
+      "tokens read": prefilledTokens,
       statuses: JSON.stringify(statuses),
     }]);
   } finally {
@@ -169,13 +177,14 @@
     rate: option({
       type: number,
       long: "rate",
-      description: "Requests in a second.",
+      description: "Requests per second.",
       defaultValue: () => 120,
     }),
     hot: option({
       type: number,
       long: "hot",
-      description: "Part of the requests for one popular prompt of each kind.",
+      description:
+        "Fraction of the requests that use one popular prompt of their kind.",
       defaultValue: () => 0.6,
     }),
     seed: option({ type: number, long: "seed", defaultValue: () => 1 }),
--- a/tools/bench_policies.ts
+++ b/tools/bench_policies.ts
@@ -4,22 +4,22 @@
 import { POLICIES, type PolicyName } from "../src/placement/policies.ts";
 import { auditBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { Load } from "./load.ts";
+import { LoadGenerator } from "./load_generator.ts";
 
 const RUN_MS = 6_000;
 const ENGINES = 10;
 const CACHE_TOKENS = 60_000;
 
-/** What one policy did under one condition. */
+/** Result of one placement policy under one condition. */
 export interface PolicyRow {
   condition: string;
   policy: PolicyName;
-  /** Warm prompt tokens, as a part of those that an endless shared cache would have found. */
+  /** Cached prompt tokens as a fraction of those that an unlimited cache shared by all engines would have served. */
   reuse: number;
-  /** 99th percentile of the greatest number in flight on one engine over the mean. */
+  /** 99th percentile of the ratio of the most loaded engine's requests in flight to the mean. */
   skewP99: number;
   chats: number;
-  /** 95th percentile of the time of a whole answer, in milliseconds. */
+  /** 95th percentile of the duration of complete responses, in milliseconds. */
   timeP95: number;
   refused: number;
 }
@@ -35,7 +35,7 @@
       await delay(RUN_MS / 4);
       const engine = fleet.engines[index]!;
       await engine.close();
-      fleet.retired.push(engine);
+      fleet.stoppedEngines.push(engine);
       fleet.engines[index] = await FakeEngine.create({
         ...engine.options,
         port: engine.port,
@@ -49,7 +49,7 @@
   },
 };
 
-/** Runs every policy under every condition with the same seed. */
+/** Runs every placement policy under every condition with the same seed. */
 export async function benchPolicies(): Promise<PolicyRow[]> {
   const rows: PolicyRow[] = [];
   for (const [condition, run] of Object.entries(CONDITIONS)) {
@@ -72,38 +72,38 @@
     engine: { cacheTokens: CACHE_TOKENS },
   });
   try {
-    const load = Load.start({
+    const load = LoadGenerator.start({
       seed: 1,
       routers: () => fleet.routers.map((router) => router.address),
-      chats: {
+      chatsByCustomer: {
         "kilima/rosters": 24,
         "kilima/clinics": 6,
         "rodar/dispatch": 10,
       },
-      bookers: 0,
-      answerTokens: 30,
-      openingLength: 6_000,
+      bookingLoops: 0,
+      responseTokens: 30,
+      firstMessageLength: 6_000,
       pauseMs: [20, 200],
-      bookingTries: 1,
-      turns: 12,
+      maxBookingAttempts: 1,
+      turnsPerChat: 12,
     });
     await run(fleet);
     const result = await load.stop();
-    const runs = [...fleet.engines, ...fleet.retired].flatMap((engine) =>
+    const runs = [...fleet.engines, ...fleet.stoppedEngines].flatMap((engine) =>
       engine.ledger.runs
     );
-    const times = result.chatTimes.sort((a, b) => a - b);
+    const durations = result.chatDurationsMs.sort((a, b) => a - b);
     return {
       condition,
       policy,
-      reuse: measureReuse(runs),
-      skewP99: auditBound(fleet.getEngineLoads(), {
+      reuse: measureCacheReuse(runs),
+      skewP99: auditBound(fleet.getEngineLoadHistories(), {
         multiple: 2,
         minimum: 4,
         lagMs: 2_000,
       }).skewP99,
-      chats: result.chats,
-      timeP95: times[Math.floor(times.length * 0.95)] ?? 0,
+      chats: result.chatRequests,
+      timeP95: durations[Math.floor(durations.length * 0.95)] ?? 0,
       refused: result.refusedChats,
     };
   } finally {
@@ -111,16 +111,20 @@
   }
 }
 
-/** Compares with a cache that all engines share and that never forgets: it finds each chat's former context. */
-function measureReuse(runs: LedgerRun[]): number {
-  const longest = new Map<string, number>();
-  let found = 0;
-  let possible = 0;
+/** Returns the cached prompt tokens as a fraction of those that an unlimited cache shared by all engines would have
+ * served; such a cache holds the longest earlier prompt of each chat. */
+function measureCacheReuse(runs: LedgerRun[]): number {
+  const longestPromptByChat = new Map<string, number>();
+  let cachedTokens = 0;
+  let reusableTokens = 0;
   for (const run of runs.sort((a, b) => a.startedAt - b.startedAt)) {
-    const known = longest.get(run.chat) ?? 0;
-    possible += Math.min(known, run.promptTokens);
-    found += Math.min(known, run.cachedTokens);
-    longest.set(run.chat, Math.max(known, run.promptTokens));
+    const longestPrompt = longestPromptByChat.get(run.chat) ?? 0;
+    reusableTokens += Math.min(longestPrompt, run.promptTokens);
+    cachedTokens += Math.min(longestPrompt, run.cachedTokens);
+    longestPromptByChat.set(
+      run.chat,
+      Math.max(longestPrompt, run.promptTokens),
+    );
   }
-  return possible === 0 ? 1 : found / possible;
+  return reusableTokens === 0 ? 1 : cachedTokens / reusableTokens;
 }
--- a/tools/bench_path.ts
+++ b/tools/bench_routing_overhead.ts
@@ -4,23 +4,23 @@
 import { Caller } from "./caller.ts";
 import { Fleet } from "./fleet.ts";
 
-const REQUESTS = 400;
-const STREAMS = 40;
+const REQUEST_COUNT = 400;
+const STREAM_COUNT = 40;
 const STREAM_TOKENS = 400;
 
-/** What the way through the routers costs. */
-export interface PathReport {
-  /** Microseconds to the end of a one-token answer: straight from the engine, and through entry and owner. */
+/** Cost of routing a request through the fleet. */
+export interface RoutingOverhead {
+  /** Latency of a one-token response in microseconds: directly from the engine, and through entry and owner router. */
   directP50: number;
   directP99: number;
   routedP50: number;
   routedP99: number;
-  /** Events streamed for each second of processor time of all routers. */
+  /** Events streamed per second of CPU time, summed over all routers. */
   eventsPerCoreSecond: number;
 }
 
-/** Measures the cost of the path. */
-export async function benchPath(): Promise<PathReport> {
+/** Measures latency and CPU time of requests through the routers. */
+export async function benchRoutingOverhead(): Promise<RoutingOverhead> {
   const fleet = await Fleet.create({
     routers: 2,
     engines: 4,
@@ -32,24 +32,26 @@
   try {
     const router = fleet.routers[0]!.address;
     const options = { customer: "kilima/rosters", router };
-    const direct = await timeEach((index) => askDirectly(engine.port, index));
-    const routed = await timeEach((index) =>
+    const direct = await measureLatencies((index) =>
+      sendDirectly(engine.port, index)
+    );
+    const routed = await measureLatencies((index) =>
       caller.chat(options, `chat-${index}`, ["hello"], 1)
     );
-    const before = await readProcessor(fleet);
+    const before = await readCpuMicroseconds(fleet);
     const streams = Array.from(
-      { length: STREAMS },
+      { length: STREAM_COUNT },
       (_, index) =>
         caller.chat(options, `stream-${index}`, ["hello"], STREAM_TOKENS),
     );
     await Promise.all(streams);
-    const seconds = (await readProcessor(fleet) - before) / 1e6;
+    const seconds = (await readCpuMicroseconds(fleet) - before) / 1e6;
     return {
       directP50: direct.getValueAtPercentile(50),
       directP99: direct.getValueAtPercentile(99),
       routedP50: routed.getValueAtPercentile(50),
       routedP99: routed.getValueAtPercentile(99),
-      eventsPerCoreSecond: STREAMS * STREAM_TOKENS / seconds,
+      eventsPerCoreSecond: STREAM_COUNT * STREAM_TOKENS / seconds,
     };
   } finally {
     await caller.close();
@@ -58,7 +60,7 @@
   }
 }
 
-async function askDirectly(port: number, index: number): Promise<void> {
+async function sendDirectly(port: number, index: number): Promise<void> {
   const body = JSON.stringify({
     max_tokens: 1,
     messages: [{ content: "hello" }],
@@ -71,17 +73,17 @@
   await response.body.text();
 }
 
-async function timeEach(ask: (index: number) => Promise<unknown>) {
+async function measureLatencies(send: (index: number) => Promise<unknown>) {
   const histogram = buildHistogram();
-  for (let index = 0; index < REQUESTS; index++) {
+  for (let index = 0; index < REQUEST_COUNT; index++) {
     const startedAt = performance.now();
-    await ask(index);
+    await send(index);
     histogram.recordValue(Math.round((performance.now() - startedAt) * 1_000));
   }
   return histogram;
 }
 
-async function readProcessor(fleet: Fleet): Promise<number> {
+async function readCpuMicroseconds(fleet: Fleet): Promise<number> {
   const statuses = await Promise.all(
     fleet.routers.map((router) => router.getStatus()),
   );
--- a/tools/bound_audit.ts
+++ b/tools/bound_audit.ts
@@ -1,81 +1,84 @@
-/** What the ledgers of a pool say of its balance. */
+/** Load balance of a pool of engines, computed from their ledgers. */
 export interface BoundReport {
-  /** Greatest number in flight on one engine. */
-  peak: number;
-  /** Starts at which an engine carried more than allowed. */
+  /** Maximum number of requests in flight on one engine. */
+  peakInFlight: number;
+  /** Number of request starts at which the engine's load exceeded the bound. */
   violations: number;
-  /** Starts that were looked at. */
+  /** Number of request starts that were checked. */
   starts: number;
-  /** Greatest and 99th percentile of in flight over allowed, over all starts. */
-  worst: number;
-  p99: number;
-  /** 99th percentile of in flight over the mean, where the mean is at least `minimumMean`. */
+  /** Maximum and 99th percentile of the ratio of requests in flight to the bound, over all starts. */
+  worstRatio: number;
+  p99Ratio: number;
+  /** 99th percentile and maximum of the ratio of the most loaded engine to the mean, over the starts at which the mean
+   * was at least `MINIMUM_MEAN`. */
   skewP99: number;
   skewMax: number;
 }
 
-/** Rule that a pool is held to. */
+/** Load bound that a pool must keep. */
 export interface BoundRule {
   multiple: number;
-  /** Requests an engine may carry however low the mean is. */
+  /** Requests that an engine may have in flight however low the mean is. */
   minimum: number;
-  /** Time by which the mean may be known late. */
+  /** Maximum age of the mean that routers may have used, in milliseconds. */
   lagMs: number;
 }
 
-/** Mean below which the ratio to it says little. */
+/** Mean load below which the ratio to it is not meaningful. */
 const MINIMUM_MEAN = 2;
 
-interface Change {
+interface LoadChange {
   at: number;
   engine: number;
   load: number;
 }
 
-/** Judges from engines' ledgers whether any carried more than a multiple of the mean, at every start of a request.
- * @param pool For each engine of a pool, its requests in flight at each change.
- * @param rule The rule. */
+/** Checks at every start of a request whether the engine's load exceeded a multiple of the mean load.
+ * @param pool For each engine of the pool, the time and the requests in flight at each change.
+ * @param rule Load bound to check. */
 export function auditBound(
   pool: readonly (readonly [number, number][])[],
   rule: BoundRule,
 ): BoundReport {
-  const changes: Change[] = pool.flatMap((loads, engine) =>
+  const changes: LoadChange[] = pool.flatMap((loads, engine) =>
     loads.map(([at, load]) => ({ at, engine, load }))
   );
   changes.sort((a, b) => a.at - b.at);
   const loads = pool.map(() => 0);
-  const means: { at: number; mean: number }[] = [];
-  const parts: number[] = [];
+  const recentMeans: { at: number; mean: number }[] = [];
+  const ratios: number[] = [];
   const skews: number[] = [];
-  let peak = 0;
+  let peakInFlight = 0;
   for (const change of changes) {
     const isStart = change.load > loads[change.engine]!;
     loads[change.engine] = change.load;
     const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
-    while (means.length > 0 && means[0]!.at < change.at - rule.lagMs) {
-      means.shift();
+    while (
+      recentMeans.length > 0 && recentMeans[0]!.at < change.at - rule.lagMs
+    ) {
+      recentMeans.shift();
     }
-    means.push({ at: change.at, mean });
-    peak = Math.max(peak, change.load);
+    recentMeans.push({ at: change.at, mean });
+    peakInFlight = Math.max(peakInFlight, change.load);
     if (!isStart) continue;
-    const highestMean = means.reduce(
+    const highestMean = recentMeans.reduce(
       (highest, sample) => Math.max(highest, sample.mean),
       0,
     );
-    parts.push(
+    ratios.push(
       change.load /
         Math.max(rule.minimum, Math.ceil(rule.multiple * highestMean)),
     );
     if (mean >= MINIMUM_MEAN) skews.push(Math.max(...loads) / mean);
   }
-  parts.sort((a, b) => a - b);
+  ratios.sort((a, b) => a - b);
   skews.sort((a, b) => a - b);
   return {
-    peak,
-    violations: parts.filter((part) => part > 1).length,
-    starts: parts.length,
-    worst: parts.at(-1) ?? 0,
-    p99: parts[Math.floor(parts.length * 0.99)] ?? 0,
+    peakInFlight: peakInFlight,
+    violations: ratios.filter((ratio) => ratio > 1).length,
+    starts: ratios.length,
+    worstRatio: ratios.at(-1) ?? 0,
+    p99Ratio: ratios[Math.floor(ratios.length * 0.99)] ?? 0,
     skewP99: skews[Math.floor(skews.length * 0.99)] ?? 0,
     skewMax: skews.at(-1) ?? 0,
   };
--- a/tools/build_launcher.ts
+++ b/tools/build_launcher.ts
@@ -1,9 +1,9 @@
 import { build } from "esbuild";
 import { BUNDLE_OPTIONS } from "./bundle_options.ts";
 
-/** Builds the launcher that runs a program from its code cache.
- * @param path Where it is written.
- * @param builtins Names of the runtime's own modules that the program loads. */
+/** Builds the launcher that runs the program from its code cache.
+ * @param path Path of the output file.
+ * @param builtins Names of the Node built-in modules that the program loads. */
 export async function buildLauncher(
   path: string,
   builtins: readonly string[],
--- a/tools/bundle_cached.ts
+++ b/tools/bundle_cached.ts
@@ -1,5 +1,5 @@
-/** Makes the program with a code cache beside it: the folder's `beechkeel.cjs` runs `program.cjs` from the cache that a
- * gateway recorded while it served requests of each kind. */
+/** Bundles the program and records a code cache for it: `beechkeel.cjs` in the output folder runs `program.cjs` from
+ * the V8 code cache that a gateway recorded while it served requests of each kind. */
 import { isBuiltin } from "node:module";
 import process from "node:process";
 import { build, type Metafile } from "esbuild";
@@ -9,15 +9,15 @@
 import { buildLauncher } from "./build_launcher.ts";
 import { BUNDLE_OPTIONS } from "./bundle_options.ts";
 
-/** Where the files go unless another folder is named. */
+/** Output folder if none is given on the command line. */
 const DEFAULT_FOLDER = "target";
-/** Gateways that record: two, so that what hosts tell each other is compiled too. */
-const GATEWAYS = 2;
-/** Callers of the recorded run. */
-const CALLERS = 4;
-/** Time for which they send requests, in milliseconds. */
-const RUN_MS = 1_500;
-/** Least and most pause of a caller between two requests, in milliseconds. */
+/** Number of gateways in the recorded run; two, so that code for communication between hosts is compiled too. */
+const GATEWAY_COUNT = 2;
+/** Number of callers in the recorded run. */
+const CALLER_COUNT = 4;
+/** Time for which the callers send requests, in milliseconds. */
+const LOAD_DURATION_MS = 1_500;
+/** Minimum and maximum pause of a caller between two requests, in milliseconds. */
 const CALLER_PAUSE_MS = [5, 20] as const;
 
 const folder = process.argv[2] ?? DEFAULT_FOLDER;
@@ -27,28 +27,28 @@
   outfile: `${folder}/program.cjs`,
   metafile: true,
 });
-await buildLauncher(`${folder}/beechkeel.cjs`, findBuiltins(metafile));
+await buildLauncher(`${folder}/beechkeel.cjs`, listBuiltinModules(metafile));
 process.env.BEECHKEEL_RECORD_CODE_CACHE = "1";
-await record();
+await recordCodeCache();
 process.exit();
 
-/** Names of the runtime's own modules that the bundled inputs load. */
-function findBuiltins({ inputs }: Metafile): string[] {
+/** Returns the names of the Node built-in modules that the bundled inputs import. */
+function listBuiltinModules({ inputs }: Metafile): string[] {
   const paths = Object.values(inputs).flatMap((input) => input.imports)
     .map(({ path }) => path).filter((path) => isBuiltin(path));
   return [...new Set(paths)];
 }
 
-async function record(): Promise<void> {
+async function recordCodeCache(): Promise<void> {
   const fleet = await SoakFleet.create({
     seed: 1,
-    gateways: GATEWAYS,
+    gateways: GATEWAY_COUNT,
     engines: 2,
     plain: 2,
     program: [process.execPath, `${folder}/beechkeel.cjs`],
   });
   try {
-    await call(fleet);
+    await generateRequests(fleet);
     for (const { program } of fleet.gateways) {
       program.signal("SIGINT");
       await program.waitForExit();
@@ -58,12 +58,12 @@
   }
 }
 
-/** Sends requests of each kind, as callers do. */
-async function call(fleet: SoakFleet): Promise<void> {
+/** Sends requests of each kind to the gateways. */
+async function generateRequests(fleet: SoakFleet): Promise<void> {
   const random = Random.create(1);
-  const endsAt = performance.now() + RUN_MS;
+  const endsAt = performance.now() + LOAD_DURATION_MS;
   const callers = Array.from(
-    { length: CALLERS },
+    { length: CALLER_COUNT },
     (_, index) =>
       SoakCaller.create(`recorded-${index}`, fleet, random.fork(), false),
   );
--- a/tools/bundle_options.ts
+++ b/tools/bundle_options.ts
@@ -1,38 +1,38 @@
 import type { BuildOptions, Plugin } from "esbuild";
 
-/** Native modules that packages use where they are there. */
+/** Native modules that packages use if they are installed. */
 const OPTIONAL_MODULES = [
   "unix-dgram",
   "bufferutil",
   "utf-8-validate",
   "msgpackr-extract",
 ];
-/** Stands for each of them in the bundle. */
-const ABSENT = "./tools/absent_module.cjs";
+/** Module that replaces each of them in the bundle. */
+const OPTIONAL_MODULE_STUB = "./tools/optional_module_stub.cjs";
 
-/** Leaves out the translations of zod's messages. */
-const englishOnly: Plugin = {
+/** Omits the translations of zod's messages. */
+const omitTranslations: Plugin = {
   name: "english-only",
-  setup: (building) => {
+  setup: (build) => {
     const filter = /zod.*locales\/index\.[cm]?js$/;
-    building.onLoad({ filter }, () => ({ contents: "export {};" }));
+    build.onLoad({ filter }, () => ({ contents: "export {};" }));
   },
 };
 
-/** Leaves out modules that are never called, for what they load costs a start tens of milliseconds: HTTP/2 of the
- * client, and sending and default values of the metrics. */
-const neverCalled: Plugin = {
+/** Replaces modules that are never called with stubs, because loading their dependencies adds tens of milliseconds to
+ * the start-up time: undici's HTTP/2 client, and prom-client's push gateway, default metrics and cluster support. */
+const stubUnusedModules: Plugin = {
   name: "never-called",
-  setup: (building) => {
+  setup: (build) => {
     const filter =
       /(client-h2|prom-client.lib.(pushgateway|defaultMetrics|cluster))\.js$/;
-    building.onLoad({ filter }, () => ({
+    build.onLoad({ filter }, () => ({
       contents: "module.exports = function absent() {};",
     }));
   },
 };
 
-/** How every bundle is made. */
+/** Build options shared by all bundles. */
 export const BUNDLE_OPTIONS = {
   format: "cjs",
   bundle: true,
@@ -40,10 +40,12 @@
   target: "node20",
   mainFields: ["module", "main"],
   alias: {
-    ...Object.fromEntries(OPTIONAL_MODULES.map((name) => [name, ABSENT])),
+    ...Object.fromEntries(
+      OPTIONAL_MODULES.map((name) => [name, OPTIONAL_MODULE_STUB]),
+    ),
     undici: "./tools/undici_subset.cjs",
   },
-  plugins: [englishOnly, neverCalled],
+  plugins: [omitTranslations, stubUnusedModules],
   minifyWhitespace: true,
   minifySyntax: true,
   logLevel: "error",
--- a/tools/bundle_path.ts
+++ b/tools/bundle_path.ts
@@ -1,5 +1,5 @@
-/** The program in one file, for runs without the binary. */
-export const BUNDLE = "dist/beechkeel.cjs";
+/** Path of the program bundled into a single file, which runs with Node. */
+export const BUNDLE_PATH = "dist/beechkeel.cjs";
 
-/** The program as one executable. */
-export const BINARY = "dist/beechkeel";
+/** Path of the program built as a single executable. */
+export const BINARY_PATH = "dist/beechkeel";
--- a/tools/caller.ts
+++ b/tools/caller.ts
@@ -1,54 +1,55 @@
 import { Agent, request } from "undici";
 import { DONE_LINE, engineEventSchema } from "../src/upstream/engine_event.ts";
 
-/** An answer as a caller received it. */
-export interface ReceivedAnswer {
+/** A response as the caller received it. */
+export interface ReceivedResponse {
   status: number;
-  /** Error kind, or "" where the answer is whole. */
+  /** Error kind, "" if the response is complete, or an error code if the connection failed. */
   kind: string;
-  /** What the router said of whether the request ran; "" where the answer is whole. */
+  /** Value of the `x-beechkeel-ran` header, which says whether the request ran; "" without that header and `unknown` if
+   * the connection failed. */
   ran: string;
-  /** Whether the answer came to its end marker. */
-  whole: boolean;
+  /** Whether the response has no error and, if it is an event stream, reached its end marker. */
+  isComplete: boolean;
   text: string;
   retryAfter: string;
-  replayed: boolean;
+  isReplayed: boolean;
   router: string;
 }
 
-/** Addresses a router tells, and for how long. */
-export interface LocateAnswer {
+/** Addresses that a router recommends, with the time for which they are valid. */
+export interface LocateResponse {
   addresses: string[];
   lifetimeMs: number;
 }
 
-/** One request of a caller. */
+/** Sender, target and timeout of a request. */
 export interface CallOptions {
   customer: string;
   router: string;
   timeoutMs?: number;
 }
 
-/** Sends requests as a caller does. */
+/** HTTP client that sends requests to routers as a caller does. */
 export class Caller {
   private readonly agent = new Agent({ keepAliveTimeout: 1_000 });
 
   private constructor() {}
 
-  /** Creates a caller without connections. */
+  /** Creates a caller without open connections. */
   static create(): Caller {
     return new Caller();
   }
 
-  /** Asks a router which addresses to use; returns none where it does not answer.
+  /** Asks a router which addresses to use; returns none if it does not respond.
    * @param router Address of the router. */
-  async locate(router: string): Promise<LocateAnswer> {
+  async locate(router: string): Promise<LocateResponse> {
     try {
       const response = await request(`http://${router}/locate`, {
         dispatcher: this.agent,
         headersTimeout: 2_000,
       });
-      const body = await response.body.json() as Partial<LocateAnswer>;
+      const body = await response.body.json() as Partial<LocateResponse>;
       return {
         addresses: body.addresses ?? [],
         lifetimeMs: body.lifetimeMs ?? 0,
@@ -58,17 +59,17 @@
     }
   }
 
-  /** Sends one message of a chat and takes the streamed answer.
-   * @param options Who sends it where.
-   * @param chatId The chat.
-   * @param messages The chat so far.
-   * @param tokens Length of the answer. */
+  /** Sends a chat request and collects the streamed response.
+   * @param options Sender and target of the request.
+   * @param chatId Id of the chat.
+   * @param messages All messages of the chat so far.
+   * @param tokens Length of the response in tokens. */
   async chat(
     options: CallOptions,
     chatId: string,
     messages: string[],
     tokens = 20,
-  ): Promise<ReceivedAnswer> {
+  ): Promise<ReceivedResponse> {
     const body = JSON.stringify({
       model: "m1",
       stream: true,
@@ -79,21 +80,21 @@
         content,
       })),
     });
-    const answer = await this.send(options, "/v1/chat/completions", body, {});
-    return answer.status === 200
-      ? { ...answer, ...readStream(answer.text) }
-      : answer;
+    const response = await this.send(options, "/v1/chat/completions", body, {});
+    return response.status === 200
+      ? { ...response, ...parseEventStream(response.text) }
+      : response;
   }
 
-  /** Calls the bookings service with a request that may not be repeated.
-   * @param options Who sends it where.
+  /** Sends a non-repeatable request to the bookings service.
+   * @param options Sender and target of the request.
    * @param body Body of the request.
-   * @param key Idempotency key, where there is one. */
+   * @param key Idempotency key, if any. */
   async book(
     options: CallOptions,
     body: string,
     key?: string,
-  ): Promise<ReceivedAnswer> {
+  ): Promise<ReceivedResponse> {
     const headers: Record<string, string> = key === undefined
       ? {}
       : { "idempotency-key": key };
@@ -105,7 +106,7 @@
     );
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
@@ -115,7 +116,7 @@
     path: string,
     body: string,
     headers: Record<string, string>,
-  ): Promise<ReceivedAnswer> {
+  ): Promise<ReceivedResponse> {
     const timeout: Record<string, string> = options.timeoutMs
       ? { "x-beechkeel-timeout-ms": String(options.timeoutMs) }
       : {};
@@ -134,42 +135,42 @@
         bodyTimeout: 60_000,
       });
       const text = await response.body.text();
-      const header = (name: string) => String(response.headers[name] ?? "");
+      const getHeader = (name: string) => String(response.headers[name] ?? "");
       return {
         status: response.statusCode,
-        kind: header("x-beechkeel-error"),
-        ran: header("x-beechkeel-ran"),
-        whole: header("x-beechkeel-error") === "",
+        kind: getHeader("x-beechkeel-error"),
+        ran: getHeader("x-beechkeel-ran"),
+        isComplete: getHeader("x-beechkeel-error") === "",
         text,
-        retryAfter: header("retry-after"),
-        replayed: header("x-beechkeel-replayed") === "yes",
+        retryAfter: getHeader("retry-after"),
+        isReplayed: getHeader("x-beechkeel-replayed") === "yes",
         router: options.router,
       };
     } catch (error) {
       const kind = (error as { code?: string }).code ?? "connection";
-      return { ...BROKEN, kind, router: options.router };
+      return { ...FAILED_CONNECTION, kind, router: options.router };
     }
   }
 }
 
-const BROKEN: ReceivedAnswer = {
+const FAILED_CONNECTION: ReceivedResponse = {
   status: 0,
   kind: "connection",
   ran: "unknown",
-  whole: false,
+  isComplete: false,
   text: "",
   retryAfter: "",
-  replayed: false,
+  isReplayed: false,
   router: "",
 };
 
-function readStream(
+function parseEventStream(
   stream: string,
-): Pick<ReceivedAnswer, "whole" | "text" | "kind"> {
+): Pick<ReceivedResponse, "isComplete" | "text" | "kind"> {
   let text = "";
-  let whole = false;
+  let isComplete = false;
   for (const line of stream.split("\n\n")) {
-    if (line === DONE_LINE) whole = true;
+    if (line === DONE_LINE) isComplete = true;
     else if (line.startsWith("data: ")) {
       const event = engineEventSchema.parse(
         JSON.parse(line.slice("data: ".length)),
@@ -177,5 +178,5 @@
       text += event.choices?.[0]?.delta.content ?? "";
     }
   }
-  return { whole, text, kind: whole ? "" : "stream_broken" };
+  return { isComplete, text, kind: isComplete ? "" : "stream_broken" };
 }
--- a/tools/chaos.ts
+++ b/tools/chaos.ts
@@ -5,97 +5,113 @@
 import { auditBound } from "./bound_audit.ts";
 import { FAULTS } from "./faults.ts";
 import { Fleet } from "./fleet.ts";
-import { Load, type LoadResult } from "./load.ts";
-import { findBrokenPromises } from "./verdict.ts";
+import { LoadGenerator, type LoadResult } from "./load_generator.ts";
+import { findInvariantViolations } from "./invariant_checks.ts";
 
-/** Streams of faults that run side by side, so that faults meet. */
-const FAULT_STREAMS = 2;
+/** Number of concurrent fault injectors; more than one, so that faults overlap. */
+const CONCURRENT_FAULTS = 2;
 const SETTLE_MS = 3_000;
 
-interface FaultRun {
-  log: string[];
-  revisions: string[];
+interface FaultReport {
+  injectedFaults: string[];
+  revisionRegressions: string[];
 }
 
-/** Injects random faults until a time; watches meanwhile that no router's configuration goes back. */
+/** Injects random faults until a deadline and checks meanwhile that no router reverts to an older configuration. */
 async function injectFaults(
   fleet: Fleet,
   random: Random,
   endsAt: number,
-): Promise<FaultRun> {
-  const log: string[] = [];
+): Promise<FaultReport> {
+  const injectedFaults: string[] = [];
   const names = Object.keys(FAULTS);
-  const stream = async () => {
+  const injectRepeatedly = async () => {
     while (performance.now() < endsAt) {
       const name = random.pick(names);
-      log.push(await FAULTS[name]!(fleet, random));
+      injectedFaults.push(await FAULTS[name]!(fleet, random));
       await delay(random.integer(100, 1_500));
     }
   };
-  const watch = watchRevisions(fleet, endsAt);
-  await Promise.all([...Array.from({ length: FAULT_STREAMS }, stream), watch]);
-  return { log, revisions: await watch };
+  const regressions = findRevisionRegressions(fleet, endsAt);
+  await Promise.all([
+    ...Array.from({ length: CONCURRENT_FAULTS }, injectRepeatedly),
+    regressions,
+  ]);
+  return {
+    injectedFaults: injectedFaults,
+    revisionRegressions: await regressions,
+  };
 }
 
-/** Notes each time that a router, once serving, reports an older configuration than one it had in the same process. */
-async function watchRevisions(fleet: Fleet, endsAt: number): Promise<string[]> {
-  const seen = new Map<string, { uptime: number; revision: number }>();
-  const reverted: string[] = [];
+/** Polls the routers until a deadline and returns a line for each time that a router that is past its start reports an
+ * older configuration revision than before in the same process. */
+async function findRevisionRegressions(
+  fleet: Fleet,
+  endsAt: number,
+): Promise<string[]> {
+  const lastSeen = new Map<string, { uptime: number; revision: number }>();
+  const regressions: string[] = [];
   while (performance.now() < endsAt) {
     for (const router of fleet.routers) {
       const status = await router.getStatus();
       if (!status || status.phase === "starting") continue;
-      const before = seen.get(router.id);
-      const now = {
+      const previous = lastSeen.get(router.id);
+      const current = {
         uptime: status.process.uptimeSeconds,
         revision: status.configuration.revision,
       };
       if (
-        before && now.uptime > before.uptime && now.revision < before.revision
+        previous && current.uptime > previous.uptime &&
+        current.revision < previous.revision
       ) {
-        reverted.push(
-          `${router.id} went from revision ${before.revision} back to ${now.revision}`,
+        regressions.push(
+          `${router.id} reverted from revision ${previous.revision} to ${current.revision}`,
         );
       }
-      seen.set(router.id, now);
+      lastSeen.set(router.id, current);
     }
     await delay(200);
   }
-  return reverted;
+  return regressions;
 }
 
-function report(
+function reportViolations(
   fleet: Fleet,
   result: LoadResult,
-  faults: FaultRun,
+  faults: FaultReport,
   seed: number,
 ): string[] {
   const serviceRuns = fleet.services.flatMap((service) => service.ledger.runs);
-  const broken = [
-    ...findBrokenPromises(result, serviceRuns),
-    ...faults.revisions,
+  const violations = [
+    ...findInvariantViolations(result, serviceRuns),
+    ...faults.revisionRegressions,
   ];
-  const bound = auditBound(fleet.getEngineLoads(), {
+  const bound = auditBound(fleet.getEngineLoadHistories(), {
     multiple: 2,
     minimum: 4,
     lagMs: 2_000,
   });
-  console.log(`seed ${seed}: ${faults.log.length} faults`);
-  for (const line of faults.log) console.log(`  ${line}`);
-  const { chats, wholeChats, refusedChats, brokenChats } = result;
+  console.log(`seed ${seed}: ${faults.injectedFaults.length} faults`);
+  for (const line of faults.injectedFaults) console.log(`  ${line}`);
+  const {
+    chatRequests: chats,
+    completeChats: wholeChats,
+    refusedChats,
+    failedChats: brokenChats,
+  } = result;
   console.log(
     `  chats ${chats}: whole ${wholeChats}, refused ${refusedChats}, visibly broken ${brokenChats}`,
   );
   console.log(
-    `  bookings ${result.bookings.length}, runs ${serviceRuns.length}; answers ${
-      JSON.stringify(result.kinds)
+    `  bookings ${result.bookings.length}, runs ${serviceRuns.length}; responses by kind ${
+      JSON.stringify(result.responsesByKind)
     }`,
   );
   console.log(
-    `  peak in flight ${bound.peak}; starts above the bound ${bound.violations} of ${bound.starts}`,
+    `  peak in flight ${bound.peakInFlight}; starts above the load bound ${bound.violations} of ${bound.starts}`,
   );
-  for (const line of broken) console.log(`  BROKEN ${line}`);
-  return broken;
+  for (const line of violations) console.log(`  VIOLATION ${line}`);
+  return violations;
 }
 
 async function runSeed(seed: number, minutes: number): Promise<string[]> {
@@ -104,19 +120,23 @@
     routers: 5,
     engines: 6,
     services: 3,
-    proxied: true,
+    useProxies: true,
   });
   try {
-    const load = Load.start({
+    const load = LoadGenerator.start({
       seed,
       routers: () => fleet.routers.map((router) => router.address),
-      chats: { "kilima/rosters": 12, "kilima/clinics": 6, "rodar/dispatch": 6 },
-      bookers: 8,
-      answerTokens: 30,
-      openingLength: 2_000,
+      chatsByCustomer: {
+        "kilima/rosters": 12,
+        "kilima/clinics": 6,
+        "rodar/dispatch": 6,
+      },
+      bookingLoops: 8,
+      responseTokens: 30,
+      firstMessageLength: 2_000,
       pauseMs: [10, 200],
-      bookingTries: 5,
-      turns: 6,
+      maxBookingAttempts: 5,
+      turnsPerChat: 6,
     });
     const faults = await injectFaults(
       fleet,
@@ -124,7 +144,7 @@
       performance.now() + minutes * 60_000,
     );
     await delay(SETTLE_MS);
-    return report(fleet, await load.stop(), faults, seed);
+    return reportViolations(fleet, await load.stop(), faults, seed);
   } finally {
     await fleet.close();
   }
@@ -133,7 +153,7 @@
 const chaos = command({
   name: "chaos",
   description:
-    "Run a fleet under random faults and judge it from the stand-ins' ledgers.",
+    "Run a fleet under random faults and check its invariants against the ledgers of the fake upstreams.",
   args: {
     seed: option({
       long: "seed",
@@ -151,16 +171,16 @@
       long: "minutes",
       type: number,
       defaultValue: () => 0.5,
-      description: "Time for each seed",
+      description: "Duration of the run of each seed",
     }),
   },
   handler: async ({ seed, seeds, minutes }) => {
-    let broken = 0;
+    let violations = 0;
     for (let index = 0; index < seeds; index++) {
-      broken += (await runSeed(seed + index, minutes)).length;
+      violations += (await runSeed(seed + index, minutes)).length;
     }
-    console.log(`${seeds} seeds, ${broken} broken promises`);
-    process.exitCode = broken === 0 ? 0 : 1;
+    console.log(`${seeds} seeds, ${violations} invariant violations`);
+    process.exitCode = violations === 0 ? 0 : 1;
   },
 });
 
--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -2,31 +2,32 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { auditBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { Load, type LoadResult } from "./load.ts";
-import { findBrokenPromises } from "./verdict.ts";
+import { LoadGenerator, type LoadResult } from "./load_generator.ts";
+import { findInvariantViolations } from "./invariant_checks.ts";
 
 const SEED = 42;
-const CALM_MS = 5_000;
+const PHASE_MS = 5_000;
 
-function say(text: string): void {
+function logStep(text: string): void {
   console.log(`[${process.uptime().toFixed(1).padStart(4)} s] ${text}`);
 }
 
-/** Prints what happened, from the stand-ins' ledgers and what callers received; returns the broken promises. */
-function report(fleet: Fleet, result: LoadResult): string[] {
+/** Prints a summary from the ledgers of the fake upstreams and the responses that callers received; returns the
+ * violations of invariants. */
+function printReport(fleet: Fleet, result: LoadResult): string[] {
   const engineRuns = fleet.engines.flatMap((engine) => engine.ledger.runs);
   const serviceRuns = fleet.services.flatMap((service) => service.ledger.runs);
   const prompt = engineRuns.reduce((sum, run) => sum + run.promptTokens, 0);
   const cached = engineRuns.reduce((sum, run) => sum + run.cachedTokens, 0);
-  const bound = auditBound(fleet.getEngineLoads(), {
+  const bound = auditBound(fleet.getEngineLoadHistories(), {
     multiple: 2,
     minimum: 4,
     lagMs: 2_000,
   });
-  const broken = findBrokenPromises(result, serviceRuns);
+  const violations = findInvariantViolations(result, serviceRuns);
   if (bound.violations > 0) {
-    broken.push(
-      `${bound.violations} starts on an engine above the set multiple of the mean`,
+    violations.push(
+      `${bound.violations} requests started on an engine above the load bound`,
     );
   }
   const runsPerBooking = new Map<string, number>();
@@ -34,27 +35,30 @@
     runsPerBooking.set(run.body, (runsPerBooking.get(run.body) ?? 0) + 1);
   }
   const rows: [string, string | number][] = [
-    ["chat answers asked for", result.chats],
+    ["chat requests sent", result.chatRequests],
     [
-      "  whole, and each its caller's own",
-      result.wholeChats - result.wrongChats,
+      "  complete, with the expected text",
+      result.completeChats - result.mismatchedChats,
     ],
     ["  refused", result.refusedChats],
-    ["  visibly broken by the killed router", result.brokenChats],
     [
-      "prompt tokens found warm",
+      "  failed, visibly to the caller",
+      result.failedChats,
+    ],
+    [
+      "prompt tokens served from cache",
       `${(100 * cached / Math.max(1, prompt)).toFixed(1)} %`,
     ],
-    ["most in flight on one engine", bound.peak],
+    ["maximum in flight on one engine", bound.peakInFlight],
     [
-      "starts above the set multiple of the mean",
+      "starts above the load bound",
       `${bound.violations} of ${bound.starts}`,
     ],
     ["bookings sent", result.bookings.length],
     [
       "  confirmed",
       result.bookings.filter((booking) =>
-        booking.answers.some((answer) => answer.whole)
+        booking.responses.some((response) => response.isComplete)
       ).length,
     ],
     [
@@ -68,48 +72,54 @@
   ];
   console.log();
   for (const [name, value] of rows) console.log(`  ${name.padEnd(44)}${value}`);
-  console.log(`  answers by kind: ${JSON.stringify(result.kinds)}`);
-  return broken;
+  console.log(`  responses by kind: ${JSON.stringify(result.responsesByKind)}`);
+  return violations;
 }
 
-say("starting the platform, 6 engines, 3 services and 3 routers as processes");
+logStep(
+  "starting the platform, 6 engines, 3 services and 3 routers as processes",
+);
 const fleet = await Fleet.create();
-let broken: string[];
+let violations: string[];
 try {
-  say(
-    "chats of two partners' customers return again and again, and bookings come in",
+  logStep(
+    "customers of two partners send multi-turn chats and bookings",
   );
-  const load = Load.start({
+  const load = LoadGenerator.start({
     seed: SEED,
     routers: () => fleet.routers.map((router) => router.address),
-    chats: { "kilima/rosters": 10, "kilima/clinics": 4, "rodar/dispatch": 6 },
-    bookers: 6,
-    answerTokens: 30,
-    openingLength: 4_000,
+    chatsByCustomer: {
+      "kilima/rosters": 10,
+      "kilima/clinics": 4,
+      "rodar/dispatch": 6,
+    },
+    bookingLoops: 6,
+    responseTokens: 30,
+    firstMessageLength: 4_000,
     pauseMs: [20, 150],
-    bookingTries: 4,
-    turns: 12,
+    maxBookingAttempts: 4,
+    turnsPerChat: 12,
   });
-  await delay(CALM_MS);
-  say("killing router r2 in the middle of its work");
+  await delay(PHASE_MS);
+  logStep("killing router r2 under load");
   await fleet.routers[1]!.kill();
-  await delay(CALM_MS);
-  say("starting r2 again; it takes its documents from its peers");
+  await delay(PHASE_MS);
+  logStep("restarting r2; it fetches its documents from its peers");
   fleet.routers[1]!.start();
   await fleet.waitUntilServing();
-  await delay(CALM_MS / 2);
-  say("stopping r3 as planned");
+  await delay(PHASE_MS / 2);
+  logStep("draining and stopping r3");
   fleet.routers[2]!.signal("SIGTERM");
   const code = await fleet.routers[2]!.waitForExit();
-  say(`r3 ended with exit code ${code}`);
-  broken = report(fleet, await load.stop());
+  logStep(`r3 exited with code ${code}`);
+  violations = printReport(fleet, await load.stop());
 } finally {
   await fleet.close();
 }
-for (const line of broken) console.log(`  NOT HELD: ${line}`);
+for (const line of violations) console.log(`  VIOLATION: ${line}`);
 console.log(
-  broken.length === 0
-    ? "\nEverything that must hold held."
-    : "\nSomething that must hold did not.",
+  violations.length === 0
+    ? "\nAll invariants held."
+    : "\nSome invariants were violated.",
 );
-process.exitCode = broken.length === 0 ? 0 : 1;
+process.exitCode = violations.length === 0 ? 0 : 1;
--- a/tools/faults.ts
+++ b/tools/faults.ts
@@ -3,24 +3,24 @@
 import type { Random } from "../src/random/random.ts";
 import type { Fleet } from "./fleet.ts";
 
-/** Injects one fault, waits, and mends it; returns what it did. */
-export type Fault = (fleet: Fleet, random: Random) => Promise<string>;
+/** Injects one fault, waits, and removes it; returns a description of the fault. */
+export type FaultInjector = (fleet: Fleet, random: Random) => Promise<string>;
 
 async function killRouter(fleet: Fleet, random: Random): Promise<string> {
   const router = random.pick(fleet.routers);
   await router.kill();
   await delay(random.integer(100, 2_000));
   router.start();
-  return `killed ${router.id}`;
+  return `killed and restarted ${router.id}`;
 }
 
-async function freezeRouter(fleet: Fleet, random: Random): Promise<string> {
+async function pauseRouter(fleet: Fleet, random: Random): Promise<string> {
   const router = random.pick(fleet.routers);
   const milliseconds = random.integer(300, 6_000);
   router.signal("SIGSTOP");
   await delay(milliseconds);
   router.signal("SIGCONT");
-  return `froze ${router.id} for ${milliseconds} ms`;
+  return `paused ${router.id} for ${milliseconds} ms`;
 }
 
 async function drainRouter(fleet: Fleet, random: Random): Promise<string> {
@@ -31,7 +31,7 @@
   return `drained ${router.id}, exit code ${code}`;
 }
 
-async function partRouters(fleet: Fleet, random: Random): Promise<string> {
+async function partitionRouters(fleet: Fleet, random: Random): Promise<string> {
   const ids = random.shuffle(fleet.routers.map((router) => router.id));
   const size = random.integer(1, ids.length - 1);
   const [left, right] = [ids.slice(0, size), ids.slice(size)];
@@ -39,24 +39,27 @@
     ["cut", "freeze", "freeze_requests", "freeze_answers"] as const,
   );
   const milliseconds = random.integer(500, 5_000);
-  fleet.mesh.part(left, right, mode);
+  fleet.proxyMesh.part(left, right, mode);
   await delay(milliseconds);
-  fleet.mesh.part(left, right, "pass");
-  return `parted ${left} from ${right} (${mode}) for ${milliseconds} ms`;
+  fleet.proxyMesh.part(left, right, "pass");
+  return `partitioned ${left} from ${right} (${mode}) for ${milliseconds} ms`;
 }
 
-async function cutUpstream(fleet: Fleet, random: Random): Promise<string> {
+async function disconnectUpstream(
+  fleet: Fleet,
+  random: Random,
+): Promise<string> {
   const upstream =
     random.pick([...fleet.engines, ...fleet.services]).options.id;
-  const readers = fleet.routers.map((router) => router.id).filter(() =>
+  const routerIds = fleet.routers.map((router) => router.id).filter(() =>
     random.fraction() < 0.6
   );
   const mode = random.pick(["cut", "freeze", "freeze_answers"] as const);
   const milliseconds = random.integer(300, 3_000);
-  fleet.mesh.setMode(readers, [upstream], mode);
+  fleet.proxyMesh.setMode(routerIds, [upstream], mode);
   await delay(milliseconds);
-  fleet.mesh.setMode(readers, [upstream], "pass");
-  return `cut ${upstream} from ${readers} (${mode}) for ${milliseconds} ms`;
+  fleet.proxyMesh.setMode(routerIds, [upstream], "pass");
+  return `disconnected ${upstream} from ${routerIds} (${mode}) for ${milliseconds} ms`;
 }
 
 async function restartEngine(fleet: Fleet, random: Random): Promise<string> {
@@ -64,36 +67,42 @@
   const engine = fleet.engines[index]!;
   const port = engine.port;
   await engine.close();
-  fleet.retired.push(engine);
+  fleet.stoppedEngines.push(engine);
   await delay(random.integer(100, 1_500));
   fleet.engines[index] = await FakeEngine.create({ ...engine.options, port });
   return `restarted ${engine.options.id}`;
 }
 
-async function misbehaveEngine(fleet: Fleet, random: Random): Promise<string> {
+async function injectEngineFault(
+  fleet: Fleet,
+  random: Random,
+): Promise<string> {
   const engine = random.pick(fleet.engines);
   engine.fault = random.pick(["crossed", "truncated", "silent"] as const);
   const { fault } = engine;
   await delay(random.integer(100, 1_000));
   engine.fault = "none";
-  return `${engine.options.id} ${fault}`;
+  return `${engine.options.id} had fault ${fault}`;
 }
 
-async function leaveUpstream(fleet: Fleet, random: Random): Promise<string> {
+async function markUpstreamLeaving(
+  fleet: Fleet,
+  random: Random,
+): Promise<string> {
   const id = random.pick([...fleet.engines, ...fleet.services]).options.id;
-  await fleet.setState(id, "leaving");
+  await fleet.setHostState(id, "leaving");
   await delay(random.integer(500, 3_000));
-  await fleet.setState(id, "live");
-  return `${id} left and came back`;
+  await fleet.setHostState(id, "live");
+  return `${id} was listed as leaving, then as live again`;
 }
 
-async function stopPlatform(fleet: Fleet, random: Random): Promise<string> {
+async function disruptPlatform(fleet: Fleet, random: Random): Promise<string> {
   const mode = random.pick(["down", "stale"] as const);
   fleet.platform.freezeStale();
   fleet.platform.setMode(mode);
   await delay(random.integer(500, 5_000));
   fleet.platform.setMode("up");
-  return `platform ${mode}`;
+  return `platform was ${mode}`;
 }
 
 async function changeConfiguration(
@@ -114,16 +123,16 @@
   return `published revision ${revision}`;
 }
 
-/** The faults by name. */
-export const FAULTS: Readonly<Record<string, Fault>> = {
+/** Fault injectors by name. */
+export const FAULTS: Readonly<Record<string, FaultInjector>> = {
   killRouter,
-  freezeRouter,
+  pauseRouter,
   drainRouter,
-  partRouters,
-  cutUpstream,
+  partitionRouters,
+  disconnectUpstream,
   restartEngine,
-  misbehaveEngine,
-  leaveUpstream,
-  stopPlatform,
+  injectEngineFault,
+  markUpstreamLeaving,
+  disruptPlatform,
   changeConfiguration,
 };
--- a/tools/fleet.ts
+++ b/tools/fleet.ts
@@ -11,24 +11,24 @@
 import { ProxyMesh } from "./proxy_mesh.ts";
 import { RouterProcess } from "./router_process.ts";
 
-/** What a small fleet is made of. */
+/** Composition of a small fleet. */
 export interface FleetOptions {
   routers: number;
   engines: number;
   services: number;
   engine: Partial<FakeEngineOptions>;
   service: Partial<FakeServiceOptions>;
-  /** Settings of every router beyond the needed ones. */
+  /** Additional settings of every router. */
   settings: Record<string, unknown>;
-  /** Slots of each engine, as the platform lists them. */
+  /** Slots of each engine and service in the host list. */
   slots: number;
-  /** The program that routers run; the bundle by default. */
+  /** Command that starts a router; by default it runs the bundle. */
   command: readonly [string, ...string[]] | undefined;
-  /** Whether routers reach each other and upstreams through proxies. */
-  proxied: boolean;
+  /** Whether routers reach the platform, each other and upstreams through fault-injecting proxies. */
+  useProxies: boolean;
 }
 
-const SECRET = "a secret for stand-in fleets";
+const FLEET_SECRET = "a secret for stand-in fleets";
 const HALLS = ["kariakoo", "mikocheni", "temeke"] as const;
 
 const DEFAULTS: FleetOptions = {
@@ -40,31 +40,31 @@
   settings: {},
   slots: 64,
   command: undefined,
-  proxied: false,
+  useProxies: false,
 };
 
-/** A fleet on this machine: routers as processes, upstreams and platform as stand-ins in this process. */
+/** A fleet on this machine: routers run as processes; the upstreams and the platform are fakes in this process. */
 export class Fleet {
   readonly routers: RouterProcess[] = [];
   readonly engines: FakeEngine[] = [];
   readonly services: FakeService[] = [];
-  /** Engines that ended; their ledgers still count. */
-  readonly retired: FakeEngine[] = [];
-  /** State in the list of hosts, by id; `live` where nothing is said. */
-  readonly states = new Map<string, Host["state"]>();
-  /** Between each router and the platform, where the fleet is proxied. */
-  readonly platformLinks = new Map<string, FaultProxy>();
-  readonly mesh = ProxyMesh.create();
-  private readonly removed = new Set<string>();
-  private readonly folder = mkdtempSync(`${tmpdir()}/beechkeel-`);
+  /** Engines that were stopped; their ledgers are still evaluated. */
+  readonly stoppedEngines: FakeEngine[] = [];
+  /** State in the host list, by host id; hosts without an entry are `live`. */
+  readonly hostStates = new Map<string, Host["state"]>();
+  /** Proxies between routers and the platform, by router id; empty unless the fleet uses proxies. */
+  readonly platformProxies = new Map<string, FaultProxy>();
+  readonly proxyMesh = ProxyMesh.create();
+  private readonly removedHostIds = new Set<string>();
+  private readonly settingsFolder = mkdtempSync(`${tmpdir()}/beechkeel-`);
 
   private constructor(
     readonly platform: FakePlatform,
     private readonly options: FleetOptions,
   ) {}
 
-  /** Starts a fleet and waits until every router serves.
-   * @param options What it is made of, where it differs from the defaults. */
+  /** Starts a fleet and waits until every router is serving.
+   * @param options Overrides of the default composition. */
   static async create(options: Partial<FleetOptions> = {}): Promise<Fleet> {
     const fleet = new Fleet(await FakePlatform.create(), {
       ...DEFAULTS,
@@ -79,21 +79,21 @@
     return fleet;
   }
 
-  /** Adds a router without listing it.
-   * @param id Its id. */
+  /** Starts a router without publishing it in the host list.
+   * @param id Router id. */
   async addRouter(id = `r${this.routers.length + 1}`): Promise<RouterProcess> {
     const settings = await this.buildSettings(id);
     const router = RouterProcess.create(
       settings,
-      this.folder,
+      this.settingsFolder,
       this.options.command,
     );
     this.routers.push(router);
     return router;
   }
 
-  /** Adds an engine without listing it.
-   * @param options How it behaves beyond the fleet's own options. */
+  /** Starts an engine without publishing it in the host list.
+   * @param options Overrides of the fleet's engine options. */
   async addEngine(
     options: Partial<FakeEngineOptions> = {},
   ): Promise<FakeEngine> {
@@ -107,64 +107,73 @@
     return engine;
   }
 
-  /** Publishes the list of hosts as it is now. */
+  /** Publishes the current host list. */
   async publishHosts(): Promise<void> {
-    const hosts = this.listHosts();
-    if (this.options.proxied) {
-      await this.mesh.extend(this.routers.map((router) => router.id), hosts);
-      this.platform.viewFor = (reader, list) => this.mesh.getView(reader, list);
+    const hosts = this.buildHostList();
+    if (this.options.useProxies) {
+      await this.proxyMesh.addMissingProxies(
+        this.routers.map((router) => router.id),
+        hosts,
+      );
+      this.platform.viewFor = (reader, list) =>
+        this.proxyMesh.replaceWithProxyPorts(reader, list);
     }
     this.platform.publishHosts(hosts);
   }
 
-  /** Changes the listed state of a host and publishes the list.
-   * @param id The host.
-   * @param state Its new state, or nothing to take it off the list. */
-  async setState(id: string, state: Host["state"] | undefined): Promise<void> {
-    if (state) this.states.set(id, state);
-    else this.removed.add(id);
+  /** Changes the state of a host in the host list and publishes the list.
+   * @param id Host id.
+   * @param state New state, or undefined to remove the host from the list. */
+  async setHostState(
+    id: string,
+    state: Host["state"] | undefined,
+  ): Promise<void> {
+    if (state) this.hostStates.set(id, state);
+    else this.removedHostIds.add(id);
     await this.publishHosts();
   }
 
-  /** Waits until every router serves and hears the others. */
+  /** Waits until every router is serving and has synchronized with the others. */
   async waitUntilServing(): Promise<void> {
     await Promise.all(
-      this.routers.map((router) => router.waitFor(isReady, "serving")),
+      this.routers.map((router) =>
+        router.waitFor(isServingAndSynchronized, "serving")
+      ),
     );
   }
 
-  /** Returns a router, or throws.
-   * @param id Its id. */
+  /** Returns the router with the given id; throws if there is none.
+   * @param id Router id. */
   getRouterOrThrow(id: string): RouterProcess {
     const router = this.routers.find((candidate) => candidate.id === id);
     if (!router) throw new Error(`no router ${id}`);
     return router;
   }
 
-  /** For each engine its requests in flight at each change, over all processes it was. */
-  getEngineLoads(): [number, number][][] {
+  /** Returns for each engine its number of requests in flight at each change, including its stopped instances. */
+  getEngineLoadHistories(): [number, number][][] {
     return this.engines.map((engine) => {
-      const earlier = this.retired.filter((other) =>
+      const earlier = this.stoppedEngines.filter((other) =>
         other.options.id === engine.options.id
       );
-      return [...earlier, engine].flatMap((one) => one.ledger.loads);
+      return [...earlier, engine].flatMap((instance) => instance.ledger.loads);
     });
   }
 
-  /** Ends everything. */
+  /** Stops all routers, fakes and proxies, and deletes the settings files. */
   async close(): Promise<void> {
     await Promise.all(this.routers.map((router) => router.kill()));
     await Promise.all(
       [...this.engines, ...this.services].map((fake) => fake.close()),
     );
     await this.platform.close();
-    this.mesh.close();
-    for (const proxy of this.platformLinks.values()) proxy.close();
-    rmSync(this.folder, { recursive: true, force: true });
+    this.proxyMesh.close();
+    for (const proxy of this.platformProxies.values()) proxy.close();
+    rmSync(this.settingsFolder, { recursive: true, force: true });
   }
 
   private async start(): Promise<void> {
-    await this.addUpstreams();
+    await this.startUpstreams();
     for (let index = 0; index < this.options.routers; index++) {
       await this.addRouter();
     }
@@ -173,7 +182,7 @@
     await this.waitUntilServing();
   }
 
-  private async addUpstreams(): Promise<void> {
+  private async startUpstreams(): Promise<void> {
     for (let index = 0; index < this.options.engines; index++) {
       await this.addEngine();
     }
@@ -192,23 +201,23 @@
       id,
       partner: "kilima",
       region: "dar",
-      hall: hallOf(this.routers.length),
+      hall: getHall(this.routers.length),
       http: { port: await getFreePort() },
       peer: { port: await getFreePort() },
       platform: { url: await this.getPlatformUrl(id) },
-      fleetSecret: SECRET,
+      fleetSecret: FLEET_SECRET,
       ...this.options.settings,
     };
   }
 
   private async getPlatformUrl(id: string): Promise<string> {
-    if (!this.options.proxied) return this.platform.url;
+    if (!this.options.useProxies) return this.platform.url;
     const proxy = await FaultProxy.create(this.platform.port);
-    this.platformLinks.set(id, proxy);
+    this.platformProxies.set(id, proxy);
     return `http://127.0.0.1:${proxy.port}`;
   }
 
-  private listHosts(): Host[] {
+  private buildHostList(): Host[] {
     const shared = {
       partner: "kilima",
       region: "dar",
@@ -217,14 +226,14 @@
       checksFence: false,
     };
     const routers = this.routers.map((router, index) => ({
-      ...this.describe(router.id, index, "router"),
+      ...this.buildCommonFields(router.id, index, "router"),
       ...shared,
       port: router.httpPort,
       peerPort: router.peerPort,
       slots: 1,
     }));
     const engines = this.engines.map((engine, index) => ({
-      ...this.describe(engine.options.id, index, "engine"),
+      ...this.buildCommonFields(engine.options.id, index, "engine"),
       ...shared,
       port: engine.port,
       models: engine.options.models,
@@ -232,23 +241,23 @@
       checksFence: engine.options.checksFence,
     }));
     const services = this.services.map((service, index) => ({
-      ...this.describe(service.options.id, index, "service"),
+      ...this.buildCommonFields(service.options.id, index, "service"),
       ...shared,
       port: service.port,
       service: "bookings",
       slots: this.options.slots,
     }));
     return [...routers, ...engines, ...services].filter((host) =>
-      !this.removed.has(host.id)
+      !this.removedHostIds.has(host.id)
     );
   }
 
-  private describe(id: string, index: number, role: Host["role"]) {
+  private buildCommonFields(id: string, index: number, role: Host["role"]) {
     return {
       id,
       role,
-      state: this.states.get(id) ?? "live" as const,
-      hall: hallOf(index),
+      state: this.hostStates.get(id) ?? "live" as const,
+      hall: getHall(index),
     };
   }
 
@@ -292,12 +301,12 @@
   }
 }
 
-function hallOf(index: number): string {
+function getHall(index: number): string {
   return HALLS[index % HALLS.length] ?? HALLS[0];
 }
 
-/** Whether a router serves and knows what the others do. */
-function isReady(status: RouterStatus): boolean {
+/** Whether a router is serving, has the configuration and has synchronized with the others. */
+function isServingAndSynchronized(status: RouterStatus): boolean {
   const hasConfiguration = status.configuration.customers >= 3;
   return status.phase === "serving" && hasConfiguration &&
     status.witness.synchronized;
--- a/tools/free_port.ts
+++ b/tools/free_port.ts
@@ -1,7 +1,7 @@
 import { createSocket } from "node:dgram";
 import { createServer, type Server } from "node:net";
 
-/** Ports are taken from blocks below the range from which the system gives ports to clients. */
+/** First lock port; lock ports and blocks lie below the range from which the system assigns ports to clients. */
 const FIRST_LOCK_PORT = 9_000;
 const FIRST_BLOCK_PORT = 10_000;
 const BLOCK_SIZE = 200;
@@ -9,7 +9,8 @@
 
 let block: Promise<{ first: number; used: number }> | undefined;
 
-/** Returns a port of the loopback address that is free for TCP and UDP; no other process using this gets it. */
+/** Returns a loopback port that is free for TCP and UDP. Each process takes ports from a block that it has locked, so
+ * that no two processes that use this function get the same port. */
 export async function getFreePort(): Promise<number> {
   block ??= claimBlock();
   const claimed = await block;
@@ -17,10 +18,12 @@
     const port = claimed.first + claimed.used++ % BLOCK_SIZE;
     if (await isFree(port)) return port;
   }
-  throw new Error("no free port is left in this process's block");
+  throw new Error(
+    `no free port in the ${BLOCK_SIZE} ports from ${claimed.first} that this process has locked`,
+  );
 }
 
-/** Claims a block for this process by listening on the block's lock port until the process ends. */
+/** Locks a block of ports for this process by listening on the block's lock port until the process exits. */
 async function claimBlock(): Promise<{ first: number; used: number }> {
   for (let index = 0; index < BLOCK_COUNT; index++) {
     const lock = await tryListen(FIRST_LOCK_PORT + index);
@@ -28,7 +31,9 @@
     lock.unref();
     return { first: FIRST_BLOCK_PORT + index * BLOCK_SIZE, used: 0 };
   }
-  throw new Error("no block of ports is free");
+  throw new Error(
+    `all ${BLOCK_COUNT} port blocks are locked by other processes`,
+  );
 }
 
 async function isFree(port: number): Promise<boolean> {
--- a/tools/log_line.ts
+++ b/tools/log_line.ts
@@ -1,21 +1,21 @@
 import logfmt from "logfmt";
 
-/** One log line of a gateway, with the host that wrote it. */
+/** A parsed log line of a gateway. */
 export interface LogLine {
   host: string;
-  /** Seconds since the Unix epoch by the host's clock. */
+  /** Seconds since the Unix epoch, by the clock of the host that wrote the line. */
   at: number;
   event: string;
-  /** All fields of the line as text. */
+  /** All fields of the line as strings. */
   fields: Readonly<Record<string, string>>;
 }
 
-/** Reads a line as a gateway writes it; whatever stands before the first field is left out. Other lines are undefined.
+/** Parses a log line of a gateway, ignoring any prefix before the `level` field; returns undefined for other lines.
  * @param text The line. */
 export function parseLogLine(text: string): LogLine | undefined {
-  const begin = text.indexOf("level=");
-  if (begin < 0) return undefined;
-  const parsed = logfmt.parse(text.slice(begin)) as Record<string, unknown>;
+  const start = text.indexOf("level=");
+  if (start < 0) return undefined;
+  const parsed = logfmt.parse(text.slice(start)) as Record<string, unknown>;
   const fields = Object.fromEntries(
     Object.entries(parsed).map(([name, value]) => [name, String(value)]),
   );
--- a/tools/losses.ts
+++ b/tools/losses.ts
@@ -1,9 +1,9 @@
-/** `npm run losses -- FILE`: why engines lacked prompts that they were sent, and how requests ended, from the log lines of
- * all gateways of a fleet. */
+/** `npm run losses -- FILE`: reports from the log lines of all gateways of a fleet why engines did not have prompts in
+ * their cache, and how requests ended. */
 import { readFileSync } from "node:fs";
 import process from "node:process";
 import { type LogLine, parseLogLine } from "./log_line.ts";
-import { PromptLosses } from "./prompt_losses.ts";
+import { PromptCacheMisses } from "./prompt_cache_misses.ts";
 
 const path = process.argv[2];
 if (path === undefined) {
@@ -13,13 +13,13 @@
 const lines = readFileSync(path, "utf8").split("\n")
   .flatMap((text) => parseLogLine(text) ?? [])
   .toSorted((a, b) => a.at - b.at);
-const losses = PromptLosses.create();
-for (const line of lines) losses.take(line);
-console.table(losses.getLosses());
-console.table(countEnds(lines));
+const misses = PromptCacheMisses.create();
+for (const line of lines) misses.processLine(line);
+console.table(misses.getMisses());
+console.table(countRequestResults(lines));
 
-/** How requests ended, the most frequent first; numbers within a detail are left out. */
-function countEnds(all: readonly LogLine[]): Record<string, number> {
+/** Counts requests by result and detail, the most frequent first; numbers are removed from the detail. */
+function countRequestResults(all: readonly LogLine[]): Record<string, number> {
   const counts = new Map<string, number>();
   for (const { event, fields } of all) {
     if (event !== "request_ended") continue;
--- a/tools/postject.d.ts
+++ b/tools/postject.d.ts
@@ -1,5 +1,5 @@
 declare module "postject" {
-  /** Puts a resource into an executable. */
+  /** Injects a resource into an executable. */
   export function inject(
     filename: string,
     resourceName: string,
--- a/tools/program_process.ts
+++ b/tools/program_process.ts
@@ -1,16 +1,16 @@
 import { type ChildProcess, spawn } from "node:child_process";
 import process from "node:process";
-import { BUNDLE } from "./bundle_path.ts";
+import { BUNDLE_PATH } from "./bundle_path.ts";
 
-/** The program from its bundle. */
+/** Command that runs the bundled program. */
 export const BUNDLED_PROGRAM: readonly [string, ...string[]] = [
   process.execPath,
-  BUNDLE,
+  BUNDLE_PATH,
 ];
 
-/** The program as a process of its own, which can be started again. */
+/** A restartable child process that runs the program. */
 export class ProgramProcess {
-  /** Lines it logged, over all its starts. */
+  /** Lines that the process wrote to standard output and standard error, over all its starts. */
   readonly log: string[] = [];
   private isRunning = false;
   private child: ChildProcess | undefined;
@@ -20,29 +20,29 @@
   private constructor(private readonly command: readonly string[]) {}
 
   /** Starts a process.
-   * @param command The program and its arguments. */
+   * @param command Executable and its arguments. */
   static create(command: readonly string[]): ProgramProcess {
     const program = new ProgramProcess(command);
     program.start();
     return program;
   }
 
-  /** Number of starts so far. */
+  /** Number of times that the process has been started. */
   get starts(): number {
     return this.startCount;
   }
 
-  /** Id of the process that runs, or ran last. */
+  /** Id of the current or most recent process. */
   get pid(): number | undefined {
     return this.child?.pid;
   }
 
-  /** Whether it has been started and has not ended. */
+  /** Whether the process is running. */
   get isAlive(): boolean {
     return this.isRunning;
   }
 
-  /** Starts the process again, unless it runs. */
+  /** Restarts the process if it is not running. */
   start(): void {
     if (this.isRunning) return;
     this.isRunning = true;
@@ -62,21 +62,21 @@
       });
     });
     this.child = child;
-    endWithThisProcess(child);
+    killOnExit(child);
   }
 
   /** Sends a signal to the process.
-   * @param name Name of the signal. */
+   * @param name Signal name. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
-  /** Waits for the process to end; returns its exit code, or null after a signal. */
+  /** Waits for the process to exit; returns its exit code, or null if a signal terminated it. */
   async waitForExit(): Promise<number | null> {
     return await this.exited;
   }
 
-  /** Kills the process at once, also where it is stopped. */
+  /** Kills the process with SIGKILL, even if it is paused by SIGSTOP. */
   async kill(): Promise<void> {
     this.signal("SIGCONT");
     this.signal("SIGKILL");
@@ -84,24 +84,24 @@
   }
 }
 
-/** The processes that run. */
-const running = new Set<ChildProcess>();
-/** Whether the end of this process ends them. */
-let hasHandlers = false;
+/** Child processes that are running. */
+const runningChildren = new Set<ChildProcess>();
+/** Whether the handlers that kill the children on exit are installed. */
+let areExitHandlersInstalled = false;
 
-/** Kills a process when this one ends, also where a signal ends it: a run that was broken off leaves nothing behind. */
-function endWithThisProcess(child: ChildProcess): void {
-  if (!hasHandlers) {
-    hasHandlers = true;
-    process.once("exit", killRunning);
+/** Kills a child when this process exits, also on SIGTERM or SIGINT: an aborted run leaves no processes behind. */
+function killOnExit(child: ChildProcess): void {
+  if (!areExitHandlersInstalled) {
+    areExitHandlersInstalled = true;
+    process.once("exit", killRunningChildren);
     for (const signal of ["SIGTERM", "SIGINT"] as const) {
       process.once(signal, () => process.exit(1));
     }
   }
-  running.add(child);
-  child.once("exit", () => running.delete(child));
+  runningChildren.add(child);
+  child.once("exit", () => runningChildren.delete(child));
 }
 
-function killRunning(): void {
-  for (const child of running) child.kill("SIGKILL");
+function killRunningChildren(): void {
+  for (const child of runningChildren) child.kill("SIGKILL");
 }
--- a/tools/proxy_mesh.ts
+++ b/tools/proxy_mesh.ts
@@ -1,7 +1,7 @@
 import { FaultProxy, type ProxyMode } from "../fakes/fault_proxy.ts";
 import type { Host } from "../src/configuration_service/host_schema.ts";
 
-/** Proxies between each router and every host it reaches, so that any two can be parted. */
+/** Proxies between each router and every other host, so that the network between any two can be partitioned. */
 export class ProxyMesh {
   private readonly proxies = new Map<string, FaultProxy>();
 
@@ -12,31 +12,31 @@
     return new ProxyMesh();
   }
 
-  /** Makes the proxies that are missing.
-   * @param readers Ids of the routers.
+  /** Creates the proxies that do not exist yet.
+   * @param routerIds Ids of the routers.
    * @param hosts All hosts. */
-  async extend(
-    readers: readonly string[],
+  async addMissingProxies(
+    routerIds: readonly string[],
     hosts: readonly Host[],
   ): Promise<void> {
-    for (const reader of readers) {
+    for (const routerId of routerIds) {
       for (const host of hosts) {
-        const name = `${reader}>${host.id}`;
-        if (host.id === reader || this.proxies.has(name)) continue;
+        const key = `${routerId}>${host.id}`;
+        if (host.id === routerId || this.proxies.has(key)) continue;
         this.proxies.set(
-          name,
+          key,
           await FaultProxy.create(host.peerPort ?? host.port),
         );
       }
     }
   }
 
-  /** The list of hosts as one router is to see it: others behind their proxies.
-   * @param reader The router.
+  /** Returns the host list for one router, with the ports of other hosts replaced by those of their proxies.
+   * @param routerId Id of the router that reads the list.
    * @param hosts All hosts. */
-  getView(reader: string, hosts: readonly Host[]): Host[] {
+  replaceWithProxyPorts(routerId: string, hosts: readonly Host[]): Host[] {
     return hosts.map((host) => {
-      const proxy = this.proxies.get(`${reader}>${host.id}`);
+      const proxy = this.proxies.get(`${routerId}>${host.id}`);
       if (!proxy) return host;
       return host.role === "router"
         ? { ...host, peerPort: proxy.port }
@@ -44,26 +44,26 @@
     });
   }
 
-  /** Changes what passes from some routers to some hosts.
-   * @param readers The routers.
-   * @param targets The hosts.
-   * @param mode What is done with what passes. */
+  /** Sets the mode of the proxies from some routers to some hosts.
+   * @param routerIds Ids of the routers.
+   * @param hostIds Ids of the hosts.
+   * @param mode New mode. */
   setMode(
-    readers: readonly string[],
-    targets: readonly string[],
+    routerIds: readonly string[],
+    hostIds: readonly string[],
     mode: ProxyMode,
   ): void {
-    for (const reader of readers) {
-      for (const target of targets) {
-        this.proxies.get(`${reader}>${target}`)?.setMode(mode);
+    for (const routerId of routerIds) {
+      for (const hostId of hostIds) {
+        this.proxies.get(`${routerId}>${hostId}`)?.setMode(mode);
       }
     }
   }
 
-  /** Parts two groups of routers both ways, or joins them again.
-   * @param left Some routers.
-   * @param right Some other routers.
-   * @param mode What is done with what passes between them. */
+  /** Partitions two groups of routers in both directions, or heals the partition with mode `pass`.
+   * @param left Ids of the routers of one group.
+   * @param right Ids of the routers of the other group.
+   * @param mode Mode of the proxies between the groups. */
   part(
     left: readonly string[],
     right: readonly string[],
@@ -73,7 +73,7 @@
     this.setMode(right, left, mode);
   }
 
-  /** Ends all proxies. */
+  /** Closes all proxies. */
   close(): void {
     for (const proxy of this.proxies.values()) proxy.close();
   }
--- a/tools/router_process.ts
+++ b/tools/router_process.ts
@@ -3,9 +3,9 @@
 import type { RouterStatus } from "../src/router/router_status.ts";
 import { BUNDLED_PROGRAM, ProgramProcess } from "./program_process.ts";
 
-const POLL_MS = 30;
+const POLL_INTERVAL_MS = 30;
 
-/** A router that runs as a process of its own. */
+/** A router that runs as a separate process. */
 export class RouterProcess {
   private constructor(
     readonly id: string,
@@ -15,9 +15,9 @@
   ) {}
 
   /** Starts a router.
-   * @param settings Its settings.
-   * @param folder Folder for its settings file.
-   * @param command The program, the bundle by default. */
+   * @param settings Router settings.
+   * @param folder Folder to which the settings file is written.
+   * @param command Command that starts the program; by default it runs the bundle. */
   static create(
     settings: { id: string; http: { port: number }; peer: { port: number } },
     folder: string,
@@ -30,38 +30,38 @@
     return new RouterProcess(id, http.port, peer.port, program);
   }
 
-  /** Lines the process logged. */
-  get log(): string[] {
+  /** Lines that the process wrote to standard output and standard error. */
+  get logLines(): string[] {
     return this.program.log;
   }
 
-  /** Address for callers. */
+  /** Address on which the router accepts requests from callers. */
   get address(): string {
     return `127.0.0.1:${this.httpPort}`;
   }
 
-  /** Starts the process again, unless it runs. */
+  /** Restarts the process if it is not running. */
   start(): void {
     this.program.start();
   }
 
   /** Sends a signal to the process.
-   * @param name Name of the signal. */
+   * @param name Signal name. */
   signal(name: NodeJS.Signals): void {
     this.program.signal(name);
   }
 
-  /** Waits for the process to end; returns its exit code, or null after a signal. */
+  /** Waits for the process to exit; returns its exit code, or null if a signal terminated it. */
   async waitForExit(): Promise<number | null> {
     return await this.program.waitForExit();
   }
 
-  /** Kills the process at once. */
+  /** Kills the process with SIGKILL. */
   async kill(): Promise<void> {
     await this.program.kill();
   }
 
-  /** Returns the router's status, or nothing where it does not answer. */
+  /** Returns the router's status, or undefined if it does not respond with status 200. */
   async getStatus(): Promise<RouterStatus | undefined> {
     try {
       const response = await request(`http://${this.address}/status`, {
@@ -74,24 +74,24 @@
     }
   }
 
-  /** Waits until the status satisfies a condition.
-   * @param isMet The condition.
-   * @param what What is waited for, for the error.
-   * @param timeoutMs Time to wait. */
+  /** Polls the status until it satisfies a condition; throws after the timeout.
+   * @param condition Condition on the status.
+   * @param description Description of the condition for the error message.
+   * @param timeoutMs Timeout in milliseconds. */
   async waitFor(
-    isMet: (status: RouterStatus) => boolean,
-    what: string,
+    condition: (status: RouterStatus) => boolean,
+    description: string,
     timeoutMs = 20_000,
   ): Promise<void> {
-    const endsAt = performance.now() + timeoutMs;
-    while (performance.now() < endsAt) {
+    const deadline = performance.now() + timeoutMs;
+    while (performance.now() < deadline) {
       const status = await this.getStatus();
-      if (status && isMet(status)) return;
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      if (status && condition(status)) return;
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
     throw new Error(
-      `${this.id}: ${what} did not come about; last log: ${
-        this.log.slice(-5).join(" | ")
+      `${this.id}: timed out after ${timeoutMs} ms waiting for: ${description}; last log lines: ${
+        this.logLines.slice(-5).join(" | ")
       }`,
     );
   }
--- a/tools/timed_engine.ts
+++ b/tools/timed_engine.ts
@@ -4,14 +4,14 @@
 import { FakeWorker } from "../fakes/fake_worker.ts";
 import { buildWorkerEntry } from "../fakes/worker_entry.ts";
 
-/** Requests that an engine works on at once. */
+/** Requests that an engine processes concurrently. */
 const SLOTS = 48;
-/** Longest pause between two events of an answer, in milliseconds; events that come closer are sent as one. */
-const EVENT_PAUSE_MS = 100;
+/** Interval at which events of a response are written, in milliseconds; events in between are merged into one. */
+const MAX_EVENT_INTERVAL_MS = 100;
 
-/** An engine of the platform's protocol whose answers take as long as those of a batching engine. */
+/** An engine that speaks the platform's protocol and simulates the response times of a batching engine. */
 export class TimedEngine {
-  /** Requests it holds. */
+  /** Number of requests in flight. */
   held = 0;
   private readonly timing = EngineTiming.create();
 
@@ -21,8 +21,8 @@
   ) {}
 
   /** Starts an engine.
-   * @param id Its id.
-   * @param onArrival Told of each request, with those held before it. */
+   * @param id Engine id.
+   * @param onArrival Called for each request with the number of requests in flight before it. */
   static async create(
     id: string,
     onArrival: (held: number) => void,
@@ -34,19 +34,18 @@
     return engine;
   }
 
-  /** Its id. */
   get id(): string {
     return this.worker.id;
   }
 
-  /** Tokens of shared prompts that it had to read. */
-  get readTokens(): number {
+  /** Tokens of shared prompts that were not in the engine's cache and had to be prefilled. */
+  get prefilledTokens(): number {
     return this.timing.readTokens;
   }
 
-  /** What it publishes of itself.
-   * @param service Name of its service. */
-  describe(service: string) {
+  /** Builds the engine's entry in the metadata store.
+   * @param service Name of the engine's service. */
+  buildServerEntry(service: string) {
     const { address, startedAt } = this.worker;
     return buildWorkerEntry({
       service,
@@ -57,7 +56,7 @@
     });
   }
 
-  /** Ends the engine. */
+  /** Stops the engine. */
   async close(): Promise<void> {
     await this.worker.close();
   }
@@ -69,7 +68,7 @@
     this.onArrival(this.held);
     this.held += 1;
     response.once("close", () => this.held -= 1);
-    const { prompt, tokens } = readPrompt(request);
+    const { prompt, tokens } = parseSharedPrompt(request);
     await delay(this.timing.read(prompt, tokens, performance.now()));
     response.writeHead(200, {
       ...this.worker.prove(request),
@@ -83,19 +82,19 @@
     events: number,
     response: ServerResponse,
   ): Promise<void> {
-    let leftMs = this.timing.getEventsMs(events, this.held);
+    let remainingMs = this.timing.getEventsMs(events, this.held);
     for (let event = 1; !response.destroyed; event++) {
       response.write(`id: ${event}\ndata: event\n\n`);
-      if (leftMs <= 0) break;
-      await delay(Math.min(EVENT_PAUSE_MS, leftMs));
-      leftMs -= EVENT_PAUSE_MS;
+      if (remainingMs <= 0) break;
+      await delay(Math.min(MAX_EVENT_INTERVAL_MS, remainingMs));
+      remainingMs -= MAX_EVENT_INTERVAL_MS;
     }
     response.end();
   }
 }
 
-/** The shared part of a request's prompt. */
-function readPrompt(request: IncomingMessage) {
+/** Reads the id and token count of the shared part of a request's prompt from the `x-beechkeel-prefix-hash` header. */
+function parseSharedPrompt(request: IncomingMessage) {
   const parts = String(request.headers["x-beechkeel-prefix-hash"]).split(",");
   const [id, tokens] = parts[0]!.split(":");
   return { prompt: parseInt(id!, 16), tokens: Number(tokens) };
--- a/tools/undici_subset.cjs
+++ b/tools/undici_subset.cjs
@@ -1,4 +1,5 @@
-// The parts of undici that the program uses; its index loads fetch, WebSocket and caches too, eleven megabytes of memory.
+// The parts of undici that the program uses. The package's index also loads fetch, WebSocket and caches, which takes
+// 11 MB of memory.
 module.exports = {
   Agent: require("../node_modules/undici/lib/dispatcher/agent.js"),
   Client: require("../node_modules/undici/lib/dispatcher/client.js"),
@@ -8,7 +9,7 @@
 
 const api = require("../node_modules/undici/lib/api/api-request.js");
 
-/** As undici's own `request`; without a dispatcher it makes one. */
+/** Equivalent of undici's `request`; creates an agent if no dispatcher is given. */
 function request(url, options = {}) {
   const { origin, pathname, search } = new URL(url);
   return api.call(options.dispatcher ?? new module.exports.Agent(), {
