--- a/tests/system/backoff_test.ts
+++ b/tests/system/backoff_test.ts
@@ -1,40 +1,46 @@
-/** Routers had the fault that gateways had: nothing in them read how long an upstream that turns a request away wants none.
- * Each owner went on sending, asked the upstream for its report every half second, and followed each refusal with a request
- * to cancel what had not begun. */
+/** Guards against routers that ignore the backoff that an upstream asks for when it refuses a request, a fault that
+ * gateways had too: each owner kept sending requests, polled the upstream's report every half second, and followed each
+ * refusal with a request to cancel work that had not begun. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "rodar/dispatch";
-/** Backoff that upstreams ask for, in seconds; longer than a test takes. */
+/** Backoff that upstreams ask for, in seconds; longer than a test runs. */
 const BACKOFF_S = 60;
 const REQUEST_COUNT = 60;
-/** Requests that a router may send an upstream in a backoff: the one that is turned away, and a report under way. A router
- * that takes another for the owner for a moment, on a busy machine, has a backoff of its own. */
+/** Maximum number of requests that a router may send to an upstream in backoff: the one that is refused, and a report
+ * request in flight. The limit is per router because on a busy machine a router may briefly take another one for the
+ * owner, and each router keeps its own backoff. */
 const MAX_REQUESTS_PER_ROUTER = 2;
-/** Interval of reports that is longer than a test takes, in milliseconds: the word of answers alone is heard. */
+/** Report interval that is longer than a test runs, in milliseconds: only responses carry the upstream's state. */
 const REPORTS_DISABLED_MS = 60_000;
 
-test.serial("services that ask for a backoff get nothing in it, and callers are served by the others", async (t) => {
+test.serial("services that ask for a backoff get no requests until it ends, and the other services serve the callers", async (t) => {
   await withFleet({ services: 4 }, async (fleet, caller) => {
-    const full = fleet.services.slice(0, 2);
+    const refusing = fleet.services.slice(0, 2);
     const send = (index: number) => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.book({ customer: CUSTOMER, router }, `shift ${index}`);
     };
     await waitUntil("bookings run", async () => (await send(0)).isComplete);
-    for (const service of full) service.backoffSeconds = BACKOFF_S;
+    for (const service of refusing) service.backoffSeconds = BACKOFF_S;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       const response = await send(index);
       t.true(response.isComplete, response.kind);
     }
-    const asked = full.map((service) => service.ledger.refusedAt.length);
-    const most = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
-    t.true(asked.every((count) => count <= most), asked.join());
+    const refusalCounts = refusing.map((service) =>
+      service.ledger.refusedAt.length
+    );
+    const maxRequests = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
+    t.true(
+      refusalCounts.every((count) => count <= maxRequests),
+      refusalCounts.join(),
+    );
   });
 });
 
-test.serial("where all services asked for a backoff a booking is refused at once as not run, until the first of them ends", async (t) => {
+test.serial("if all services asked for a backoff, a booking is refused at once as not run, to retry when the first backoff ends", async (t) => {
   await withFleet({ services: 2 }, async (fleet, caller) => {
     const send = () => {
       const router = fleet.routers[0]!.address;
@@ -46,7 +52,7 @@
     shorter!.backoffSeconds = BACKOFF_S;
     const countRefusals = () =>
       longer!.ledger.refusedAt.length + shorter!.ledger.refusedAt.length;
-    await waitUntil("both have turned one away", async () => {
+    await waitUntil("both services have refused a request", async () => {
       await send();
       return countRefusals() >= 2;
     });
@@ -59,35 +65,35 @@
   });
 });
 
-test.serial("an engine that asked for a backoff gets no request to cancel or report either", async (t) => {
+test.serial("an engine that asked for a backoff gets no cancel or report requests either", async (t) => {
   const options = {
     engines: 2,
     settings: { routing: { reportIntervalMs: 50 } },
   };
   await withFleet(options, async (fleet, caller) => {
-    const [full, other] = fleet.engines;
+    const [refusing, other] = fleet.engines;
     const send = (chat: string) => {
       const router = fleet.routers[0]!.address;
       return caller.chat({ customer: "kilima/rosters", router }, chat, ["a"]);
     };
     await waitUntil("chats run", async () => (await send("c")).isComplete);
-    full!.backoffSeconds = BACKOFF_S;
+    refusing!.backoffSeconds = BACKOFF_S;
     let chats = 0;
-    await waitUntil("it has turned one away", async () => {
+    await waitUntil("the engine has refused a request", async () => {
       await send(`c-${chats++}`);
-      return full!.ledger.refusedAt.length > 0;
+      return refusing!.ledger.refusedAt.length > 0;
     });
     await delay(100);
-    const before = full!.requests;
+    const before = refusing!.requests;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       t.true((await send(`d-${index}`)).isComplete);
     }
-    t.is(full!.requests, before);
+    t.is(refusing!.requests, before);
     t.true(other!.ledger.runs.length >= REQUEST_COUNT);
   });
 });
 
-test.serial("a service that says in its answers that it leaves gets nothing more, before its next report", async (t) => {
+test.serial("a service that announces in its responses that it is leaving gets no more requests, even before its next report", async (t) => {
   const settings = { routing: { reportIntervalMs: REPORTS_DISABLED_MS } };
   await withFleet({ services: 2, settings }, async (fleet, caller) => {
     const send = (index: number) => {
--- a/tests/system/binary_test.ts
+++ b/tests/system/binary_test.ts
@@ -4,7 +4,7 @@
 import { BINARY_PATH } from "../../tools/bundle_path.ts";
 import { withFleet } from "./with_fleet.ts";
 
-test.serial("the one binary serves the whole path with no packages beside it", async (t) => {
+test.serial("the single executable serves chats and bookings without installed packages", async (t) => {
   const folder = mkdtempSync(`${tmpdir()}/beechkeel-`);
   const program = `${folder}/beechkeel`;
   copyFileSync(BINARY_PATH, program);
--- a/tests/system/bound_test.ts
+++ b/tests/system/bound_test.ts
@@ -2,11 +2,11 @@
 import { FakeEngine } from "../../fakes/fake_engine.ts";
 import { auditBound } from "../../tools/bound_audit.ts";
 import type { Fleet } from "../../tools/fleet.ts";
-import { LoadGenerator, type LoadOptions } from "../../tools/load_generator.ts";
+import { LoadGenerator, type LoadOptions } from "../../tools/load.ts";
 import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
-/** The multiple and minimum that settings promise by default, and the age a mean may have. */
+/** Default load bound of the settings, with the maximum age of the mean in milliseconds. */
 const LOAD_BOUND = { multiple: 2, minimum: 4, lagMs: 2_000 };
 
 function buildLoad(
@@ -51,13 +51,13 @@
     await waitForRuns(fleet, 250);
     fleet.routers[1]!.signal("SIGCONT");
   },
-  "a hall is parted and both sides serve": async (fleet) => {
+  "a hall is partitioned and both sides serve": async (fleet) => {
     const ids = fleet.routers.map((router) => router.id);
     fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
     await waitForRuns(fleet, 300);
     fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "pass");
   },
-  "one customer surges twentyfold": async (fleet) => {
+  "one customer's load surges twentyfold": async (fleet) => {
     const surge = LoadGenerator.start(
       buildLoad(fleet, 99, { "rodar/dispatch": 80 }),
     );
@@ -100,7 +100,7 @@
   });
 }
 
-test.serial("both sides of a parted fleet together keep one engine to the minimum", async (t) => {
+test.serial("both sides of a partitioned fleet together keep an engine's load within the minimum", async (t) => {
   await withFleet(
     { routers: 5, useProxies: true, engine: { tokenMs: 4 } },
     async (fleet, caller) => {
@@ -120,7 +120,7 @@
           router.waitFor(
             (status) =>
               status.routers.filter((other) => other.heard).length === heard,
-            "the parting",
+            "the partition to be detected",
           )
         ),
       );
--- a/tests/system/complete_response_test.ts
+++ b/tests/system/complete_response_test.ts
@@ -10,7 +10,7 @@
 for (
   const fault of ["crossed", "truncated", "silent"] satisfies EngineFault[]
 ) {
-  test.serial(`an engine whose answer is ${fault} never reaches the caller`, async (t) => {
+  test.serial(`the caller gets the complete response despite an engine with fault ${fault}`, async (t) => {
     const settings = { routing: { stallTimeoutMs: 500 } };
     await withFleet({ settings }, async (fleet, caller) => {
       const place = await findPlacement(fleet, "c1");
@@ -31,10 +31,10 @@
 }
 
 for (const signal of ["SIGKILL", "SIGSTOP"] as const) {
-  test.serial(`an answer goes on whole when its owner gets ${signal} in the middle`, async (t) => {
+  test.serial(`a response is completed when its owner gets ${signal} midway`, async (t) => {
     await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
       const { engine, owner, entry } = await findPlacement(fleet, "c1");
-      const answering = caller.chat(
+      const pendingResponse = caller.chat(
         { customer: CUSTOMER, router: entry.address },
         "c1",
         ["hello"],
@@ -42,7 +42,7 @@
       );
       await waitUntil("some of the response", () => engine.piecesInFlight > 20);
       owner.signal(signal);
-      const response = await answering;
+      const response = await pendingResponse;
       t.true(response.isComplete);
       t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
       t.true(engine.ledger.runs.slice(1).every((run) => run.resumeFrom > 0));
@@ -50,10 +50,10 @@
   });
 }
 
-test.serial("an answer goes on whole on another engine when its engine ends in the middle", async (t) => {
+test.serial("a response is completed by another engine when its engine stops midway", async (t) => {
   await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
     const { engine, entry } = await findPlacement(fleet, "c1");
-    const answering = caller.chat(
+    const pendingResponse = caller.chat(
       { customer: CUSTOMER, router: entry.address },
       "c1",
       ["hello"],
@@ -61,7 +61,7 @@
     );
     await waitUntil("some of the response", () => engine.piecesInFlight > 20);
     await engine.close();
-    const response = await answering;
+    const response = await pendingResponse;
     t.true(response.isComplete);
     t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
     const others = fleet.engines.filter((other) => other !== engine).flatMap((
@@ -72,10 +72,10 @@
   });
 });
 
-test.serial("an answer whose entry ends breaks off visibly", async (t) => {
+test.serial("a response whose entry router is killed ends visibly incomplete", async (t) => {
   await withFleet({ engine: { tokenMs: 5 } }, async (fleet, caller) => {
     const { engine, entry } = await findPlacement(fleet, "c1");
-    const answering = caller.chat(
+    const pendingResponse = caller.chat(
       { customer: CUSTOMER, router: entry.address },
       "c1",
       ["hello"],
@@ -83,12 +83,12 @@
     );
     await waitUntil("some of the response", () => engine.piecesInFlight > 20);
     await entry.kill();
-    t.false((await answering).isComplete);
-    await waitUntil("the engine to be free", () => engine.inFlight === 0);
+    t.false((await pendingResponse).isComplete);
+    await waitUntil("the engine to be idle", () => engine.inFlight === 0);
   });
 });
 
-test.serial("a service's answer to another request never reaches the caller", async (t) => {
+test.serial("a service's response to another request never reaches the caller", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     for (const service of fleet.services) service.fault = "crossed";
     const response = await caller.book({
--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -27,7 +27,7 @@
     routers.map((router) =>
       router.waitFor(
         (status) => status.configuration.revision === revision,
-        "revision",
+        "the published revision",
       )
     ),
   );
@@ -35,47 +35,47 @@
 
 async function readAudit(
   router: RouterProcess,
-  what: string,
+  key: string,
 ): Promise<AuditRecord[]> {
-  const response = await request(`http://${router.address}/audit?what=${what}`);
+  const response = await request(`http://${router.address}/audit?what=${key}`);
   return ((await response.body.json()) as { records: AuditRecord[] }).records;
 }
 
-test.serial("an accepted document is in force on every router, also where the platform is out of reach", async (t) => {
+test.serial("an accepted document is in force on every router, even on those that cannot reach the platform", async (t) => {
   await withFleet({ useProxies: true }, async (fleet) => {
     for (const router of fleet.routers.slice(1)) {
       fleet.platformProxies.get(router.id)!.setMode("freeze");
     }
     const revision = publishShare(fleet, 0.4);
     await waitForRevision(fleet.routers, revision);
-    const digests = await Promise.all(
+    const statuses = await Promise.all(
       fleet.routers.map((router) => router.getStatus()),
     );
     t.is(
-      new Set(digests.map((status) => status!.configuration.digest)).size,
+      new Set(statuses.map((status) => status!.configuration.digest)).size,
       1,
     );
   });
 });
 
-test.serial("an older value from a stale platform never replaces a newer one, nor on a router that starts anew", async (t) => {
+test.serial("an older value from a stale platform never replaces a newer one, not even on a restarted router", async (t) => {
   await withFleet({}, async (fleet) => {
     fleet.platform.freezeStale();
     const revision = publishShare(fleet, 0.4);
     await waitForRevision(fleet.routers, revision);
     fleet.platform.setMode("stale");
     for (const router of fleet.routers) {
-      await waitUntil("the older value to be offered", async () => {
+      await waitUntil("a document_superseded record", async () => {
         const records = await readAudit(router, KEY);
         return records.some((record) =>
           record.action === "document_superseded"
         );
       });
     }
-    const fresh = fleet.routers[2]!;
-    await fresh.kill();
-    fresh.start();
-    await fresh.waitFor((status) => status.phase === "serving", "serving");
+    const restarted = fleet.routers[2]!;
+    await restarted.kill();
+    restarted.start();
+    await restarted.waitFor((status) => status.phase === "serving", "serving");
     for (const router of fleet.routers) {
       t.is((await router.getStatus())!.configuration.revision, revision);
       const inForce = (await readAudit(router, KEY)).filter((record) =>
@@ -88,7 +88,7 @@
   });
 });
 
-test.serial("of two operators who race, the highest revision is in force everywhere", async (t) => {
+test.serial("when two operators publish concurrently, the highest revision is in force on every router", async (t) => {
   await withFleet({}, async (fleet) => {
     let revision = 0;
     for (let round = 0; round < 40; round++) {
@@ -106,7 +106,7 @@
   });
 });
 
-test.serial("a document in which one partner touches what is the other's is refused whole by all, with the reason", async (t) => {
+test.serial("a document in which one partner sets a customer of another is refused entirely by all routers, with the reason", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     const value = {
       kind: "customer",
@@ -136,7 +136,7 @@
   });
 });
 
-test.serial("a fleet that starts with the platform down says so, and serves when it returns", async (t) => {
+test.serial("a fleet that starts while the platform is down refuses requests as starting, and serves once it is back", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     fleet.platform.setMode("down");
     await Promise.all(fleet.routers.map((router) => router.kill()));
--- a/tests/system/find_placement.ts
+++ b/tests/system/find_placement.ts
@@ -3,17 +3,17 @@
 import type { Fleet } from "../../tools/fleet.ts";
 import type { RouterProcess } from "../../tools/router_process.ts";
 
-/** Who serves a chat. */
+/** Engine and routers that serve a chat. */
 export interface ChatPlacement {
   engine: FakeEngine;
   owner: RouterProcess;
-  /** A router that is not the owner. */
+  /** A router other than the owner. */
   entry: RouterProcess;
 }
 
-/** Asks a router where a chat would go.
+/** Asks a router which engine would serve a chat and which router owns that engine.
  * @param fleet The fleet.
- * @param chat Id of the chat of customer kilima/rosters. */
+ * @param chat Id of a chat of customer kilima/rosters. */
 export async function findPlacement(
   fleet: Fleet,
   chat: string,
--- a/tests/system/idempotency_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -17,7 +17,7 @@
   return fleet.routers.map((router) => router.id);
 }
 
-test.serial("one key sent through all routers at once runs once, and each caller gets the answer", async (t) => {
+test.serial("a key sent through all routers at once runs once, and every key gets a complete response", async (t) => {
   await withFleet(
     { routers: 5, service: { callMs: 50 } },
     async (fleet, caller) => {
@@ -47,7 +47,7 @@
   );
 });
 
-test.serial("one key does not run again when the router that ran it is killed in the middle", async (t) => {
+test.serial("a key does not run again when the router that received it is killed while it runs", async (t) => {
   await withFleet(
     { routers: 4, service: { callMs: 600 } },
     async (fleet, caller) => {
@@ -57,7 +57,7 @@
         caller.book({ customer: CUSTOMER, router: first!.address }, key, key)
       );
       await waitUntil(
-        "all to run",
+        "all bookings to run",
         () => countRuns(fleet.services).size === keys.length,
       );
       await first!.kill();
@@ -82,7 +82,7 @@
   );
 });
 
-test.serial("one key sent to both sides of a parted fleet runs once, and one side runs it", async (t) => {
+test.serial("a key sent to both sides of a partitioned fleet runs exactly once", async (t) => {
   await withFleet({ routers: 5, useProxies: true }, async (fleet, caller) => {
     const ids = getRouterIds(fleet);
     const [left, right] = [ids.slice(0, 2), ids.slice(2)];
@@ -103,17 +103,17 @@
         response.ran === "unknown"
       ),
     );
-    const byKey = keys.map((key) =>
+    const isDoneByKey = keys.map((key) =>
       responses.some((response) =>
         response.isComplete && response.text.includes(`"${key}"`)
       )
     );
-    t.true(byKey.every((isDone) => isDone));
+    t.true(isDoneByKey.every((isDone) => isDone));
     fleet.proxyMesh.part(left, right, "pass");
   });
 });
 
-test.serial("one key does not run again after its witnesses are restarted one by one", async (t) => {
+test.serial("a key does not run again after its witnesses are restarted one by one", async (t) => {
   await withFleet({ routers: 4 }, async (fleet, caller) => {
     const keys = Array.from({ length: 10 }, (_, index) => `key-${index}`);
     const entry = fleet.routers[0]!;
--- a/tests/system/invalid_request_test.ts
+++ b/tests/system/invalid_request_test.ts
@@ -96,7 +96,7 @@
   ],
   ["an unknown path", "/x", CUSTOMER, "", 404, "not_found", /path: \/x/],
   [
-    "a path that takes another method",
+    "a path that requires another method",
     "/locate",
     CUSTOMER,
     "",
@@ -105,7 +105,7 @@
     /POST/,
   ],
   [
-    "a bad time",
+    "an invalid timeout",
     BOOKINGS,
     { ...CUSTOMER, "x-beechkeel-timeout-ms": "soon" },
     "",
@@ -114,7 +114,7 @@
     /timeout/,
   ],
   [
-    "a bad key",
+    "an idempotency key that is too long",
     BOOKINGS,
     { ...CUSTOMER, "idempotency-key": "k".repeat(300) },
     "",
@@ -123,7 +123,7 @@
     /key/,
   ],
   [
-    "a bad flag",
+    "an invalid flag",
     BOOKINGS,
     { ...CUSTOMER, "x-beechkeel-repeatable": "?" },
     "",
@@ -140,14 +140,14 @@
   );
 }
 
-async function isClosed(socket: Socket): Promise<boolean> {
+async function waitForClose(socket: Socket): Promise<boolean> {
   socket.on("error", () => undefined).resume();
   return await new Promise((resolve) =>
     socket.once("close", () => resolve(true))
   );
 }
 
-test.serial("bad requests get their kind from the closed table, run nothing and disturb nobody", async (t) => {
+test.serial("an invalid request gets one of the defined error kinds, runs nothing and does not affect other requests", async (t) => {
   const settings = { limits: { maxBodyBytes: 50_000 } };
   await withFleet({ settings }, async (fleet, caller) => {
     const { address } = fleet.routers[0]!;
@@ -176,31 +176,34 @@
   });
 });
 
-test.serial("a caller that sends drop by drop is answered as too slow", async (t) => {
+test.serial("a caller that sends its request too slowly gets status 408", async (t) => {
   const settings = { limits: { headerTimeoutMs: 300, requestTimeoutMs: 600 } };
   await withFleet({ settings }, async (fleet) => {
     const socket = connect(fleet.routers[0]!.httpPort, "127.0.0.1");
     let received = "";
     socket.setEncoding("utf8").on("data", (text) => received += text);
     socket.write(`POST ${CHATS} HTTP/1.1\r\nhost: router\r\n`);
-    await isClosed(socket);
+    await waitForClose(socket);
     t.regex(received, /^HTTP\/1\.1 408 /);
     t.regex(received, /caller_too_slow/);
   });
 });
 
-test.serial("nonsense on the routers' own port ends the connection and nothing else", async (t) => {
+test.serial("invalid data on the port for other routers closes the connection and has no other effect", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     const router = fleet.routers[0]!;
-    const raw = connect(router.peerPort, "127.0.0.1");
-    raw.write(Buffer.alloc(1_000_000, 7));
-    t.true(await isClosed(raw));
-    const stranger = new WebSocket(`ws://127.0.0.1:${router.peerPort}/`, {
-      headers: { "x-router": "r2" },
-    });
+    const socket = connect(router.peerPort, "127.0.0.1");
+    socket.write(Buffer.alloc(1_000_000, 7));
+    t.true(await waitForClose(socket));
+    const unauthenticated = new WebSocket(
+      `ws://127.0.0.1:${router.peerPort}/`,
+      {
+        headers: { "x-router": "r2" },
+      },
+    );
     t.regex(
       await new Promise((resolve) =>
-        stranger.once("error", (error) => resolve(error.message))
+        unauthenticated.once("error", (error) => resolve(error.message))
       ),
       /403/,
     );
@@ -213,7 +216,7 @@
   });
 });
 
-test.serial("a value of a million bytes and more is refused whole, and the one before stays in force", async (t) => {
+test.serial("a value of more than a million bytes is refused entirely, and the previous one stays in force", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     const parameters = { models: ["m".repeat(1_000_001)] };
     const value = {
@@ -226,7 +229,7 @@
     fleet.platform.publish("kilima/customers/rosters", value);
     const router = fleet.routers[0]!;
     await waitUntil(
-      "the refusal",
+      "the value to be refused",
       () =>
         router.logLines.some((line) => /document_refused.*1000000/.test(line)),
     );
--- a/tests/system/routed_request_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -3,7 +3,7 @@
 import { Caller } from "../../tools/caller.ts";
 import { Fleet } from "../../tools/fleet.ts";
 
-test.serial("a returning chat is answered whole through any router and finds its context warm", async (t) => {
+test.serial("a follow-up message of a chat gets a complete response through another router and reuses the prompt cache", async (t) => {
   const fleet = await Fleet.create();
   const caller = Caller.create();
   try {
@@ -31,7 +31,7 @@
   }
 });
 
-test.serial("a booking with the same key runs once and its answer is given again by every router", async (t) => {
+test.serial("a booking with the same key runs once and its response is replayed by every router", async (t) => {
   const fleet = await Fleet.create();
   const caller = Caller.create();
   try {
--- a/tests/system/unexecuted_request_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
-import { findInvariantViolations } from "../../tools/invariant_checks.ts";
-import type { BookingRecord } from "../../tools/load_generator.ts";
+import { findInvariantViolations } from "../../tools/verdict.ts";
+import type { BookingRecord } from "../../tools/load.ts";
 import type { RouterStatus } from "../../src/router/router_status.ts";
 import type { RouterProcess } from "../../tools/router_process.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "rodar/dispatch";
-/** Longer than the gap that a router notices. */
+/** Duration of a pause of a router process, in milliseconds; long enough for the router to detect it. */
 const PAUSE_MS = 1_800;
 
-test.serial("what is answered as not run is not run by owners that wake up late", async (t) => {
+test.serial("a request reported as not run is not run by a paused owner that resumes later", async (t) => {
   await withFleet(
     { routers: 3, service: { callMs: 20 } },
     async (fleet, caller) => {
@@ -28,21 +28,21 @@
       const bookings: BookingRecord[] = [];
       for (const router of others) {
         router.signal("SIGSTOP");
-        const wakesAt = Date.now() + PAUSE_MS;
+        const resumesAt = Date.now() + PAUSE_MS;
         const timeouts = Array.from(
           { length: 15 },
           (_, index) => 20 + index * 60,
         );
-        const names = timeouts.map((timeout) => `${router.id}-${timeout}`);
+        const ids = timeouts.map((timeout) => `${router.id}-${timeout}`);
         bookings.push(
           ...await Promise.all(
-            timeouts.map((timeout, index) => book(names[index]!, timeout)),
+            timeouts.map((timeout, index) => book(ids[index]!, timeout)),
           ),
         );
-        await waitUntil("the freeze to last", () => Date.now() > wakesAt);
+        await waitUntil("the end of the pause", () => Date.now() > resumesAt);
         router.signal("SIGCONT");
         await waitUntil(
-          "the owner to notice",
+          "the owner to detect the pause",
           () =>
             router.logLines.some((line) => line.includes("process_was_paused")),
         );
@@ -63,7 +63,7 @@
   );
 });
 
-test.serial("a service that takes the request and says nothing leaves the outcome unknown, after one run", async (t) => {
+test.serial("if a service accepts a request and never responds, the outcome is unknown and the request runs once", async (t) => {
   const settings = { routing: { stallTimeoutMs: 400 } };
   await withFleet({ settings }, async (fleet, caller) => {
     for (const service of fleet.services) service.fault = "silent";
@@ -76,7 +76,7 @@
   });
 });
 
-test.serial("a request that no upstream took is answered at once as not run, with a time to come back", async (t) => {
+test.serial("a request that no upstream accepted is refused at once as not run, with a time to retry", async (t) => {
   await withFleet({ services: 2 }, async (fleet, caller) => {
     for (const service of fleet.services) await service.close();
     const response = await caller.book({
@@ -89,7 +89,7 @@
   });
 });
 
-test.serial("what waits at an owner that the entry no longer reaches is answered as not run, and is not", async (t) => {
+test.serial("requests queued at an owner that the entry can no longer reach are reported as not run, and are not run", async (t) => {
   const options = {
     routers: 2,
     engines: 0,
@@ -128,9 +128,9 @@
       unanswered -= 1;
       return { id, hasIdempotencyKey: false, responses: [response] };
     };
-    // An owner that missed a probe of the other router uses one place of three for a while, longer than callers wait; so
-    // they come again until three run.
-    await waitUntil("three to run", () => {
+    // An owner that missed a probe of the other router uses only one of three slots for longer than the callers'
+    // timeout, so more bookings are sent until three run.
+    await waitUntil("three bookings to run", () => {
       if (runs.length >= 3 || unanswered > 0) return runs.length >= 3;
       for (let count = 0; count < 12; count++) {
         bookings.push(book(`waiting-${bookings.length}`));
@@ -138,15 +138,15 @@
       return false;
     });
     fleet.proxyMesh.part([entry.id], [owner.id], "freeze");
-    const ended = await Promise.all(bookings);
+    const records = await Promise.all(bookings);
     await owner.waitFor(
       (status) =>
         status.upstreams.every((one) => one.running + one.waiting === 0),
       "idle",
     );
-    t.true(ended.some((booking) => booking.responses[0]!.ran === "no"));
+    t.true(records.some((booking) => booking.responses[0]!.ran === "no"));
     t.deepEqual(
-      findInvariantViolations({ mismatchedChats: 0, bookings: ended }, runs),
+      findInvariantViolations({ mismatchedChats: 0, bookings: records }, runs),
       [],
     );
   });
--- a/tests/system/with_fleet.ts
+++ b/tests/system/with_fleet.ts
@@ -5,9 +5,9 @@
 const POLL_INTERVAL_MS = 10;
 const WAIT_TIMEOUT_MS = 30_000;
 
-/** Runs a test body on a fleet of its own and ends the fleet after it.
- * @param options What the fleet is made of.
- * @param body The test. */
+/** Runs a test body with a new fleet and a caller, and closes both afterwards.
+ * @param options Options of the fleet.
+ * @param body Test body. */
 export async function withFleet(
   options: Partial<FleetOptions>,
   body: (fleet: Fleet, caller: Caller) => Promise<void>,
@@ -22,8 +22,8 @@
   }
 }
 
-/** Waits until a condition holds; throws where it never does.
- * @param description What is waited for.
+/** Polls a condition until it holds; throws if it does not hold within the timeout.
+ * @param description Description of the condition for the error message.
  * @param condition The condition. */
 export async function waitUntil(
   description: string,
@@ -34,5 +34,5 @@
     if (await condition()) return;
     await delay(POLL_INTERVAL_MS);
   }
-  throw new Error(`${description} did not come about`);
+  throw new Error(`timed out waiting for: ${description}`);
 }
--- a/tools/bench_gateways.ts
+++ b/tools/bench_gateways.ts
@@ -16,7 +16,7 @@
 /** Clock ticks per second in `/proc/PID/stat` (`USER_HZ` on Linux). */
 const TICKS_PER_SECOND = 100;
 /** Interval at which gateways are polled for the version that is in force, in milliseconds. */
-const POLL_INTERVAL_MS = 20;
+const POLL_MS = 20;
 
 /** Cumulative traffic and CPU time of one gateway, and its current memory use. */
 interface ResourceSample {
@@ -56,9 +56,7 @@
   const startedAt = performance.now();
   const line = `beechkeel_configuration_version ${fleet.newest.version}\n`;
   const wait = async (gateway: GatewayProcess) => {
-    while (!(await fetchMetrics(gateway)).includes(line)) {
-      await delay(POLL_INTERVAL_MS);
-    }
+    while (!(await fetchMetrics(gateway)).includes(line)) await delay(POLL_MS);
   };
   await Promise.all(fleet.gateways.map(wait));
   return performance.now() - startedAt;
--- a/tools/bench_policies.ts
+++ b/tools/bench_policies.ts
@@ -4,7 +4,7 @@
 import { POLICIES, type PolicyName } from "../src/placement/policies.ts";
 import { auditBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator } from "./load_generator.ts";
+import { LoadGenerator } from "./load.ts";
 
 const RUN_MS = 6_000;
 const ENGINES = 10;
--- a/tools/bound_audit.ts
+++ b/tools/bound_audit.ts
@@ -74,7 +74,7 @@
   ratios.sort((a, b) => a - b);
   skews.sort((a, b) => a - b);
   return {
-    peakInFlight: peakInFlight,
+    peakInFlight,
     violations: ratios.filter((ratio) => ratio > 1).length,
     starts: ratios.length,
     worstRatio: ratios.at(-1) ?? 0,
--- a/tools/bundle_cached.ts
+++ b/tools/bundle_cached.ts
@@ -61,7 +61,7 @@
 /** Sends requests of each kind to the gateways. */
 async function generateRequests(fleet: SoakFleet): Promise<void> {
   const random = Random.create(1);
-  const endsAt = performance.now() + LOAD_DURATION_MS;
+  const deadline = performance.now() + LOAD_DURATION_MS;
   const callers = Array.from(
     { length: CALLER_COUNT },
     (_, index) =>
@@ -69,7 +69,7 @@
   );
   const running = callers.map((caller) =>
     caller.run(
-      () => performance.now() >= endsAt,
+      () => performance.now() >= deadline,
       () => random.integer(...CALLER_PAUSE_MS),
     )
   );
--- a/tools/caller.ts
+++ b/tools/caller.ts
@@ -63,18 +63,18 @@
    * @param options Sender and target of the request.
    * @param chatId Id of the chat.
    * @param messages All messages of the chat so far.
-   * @param tokens Length of the response in tokens. */
+   * @param responseTokens Length of the response in tokens. */
   async chat(
     options: CallOptions,
     chatId: string,
     messages: string[],
-    tokens = 20,
+    responseTokens = 20,
   ): Promise<ReceivedResponse> {
     const body = JSON.stringify({
       model: "m1",
       stream: true,
       chat_id: chatId,
-      max_tokens: tokens,
+      max_tokens: responseTokens,
       messages: messages.map((content, index) => ({
         role: index % 2 === 0 ? "user" : "assistant",
         content,
--- a/tools/chaos.ts
+++ b/tools/chaos.ts
@@ -5,8 +5,8 @@
 import { auditBound } from "./bound_audit.ts";
 import { FAULTS } from "./faults.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator, type LoadResult } from "./load_generator.ts";
-import { findInvariantViolations } from "./invariant_checks.ts";
+import { LoadGenerator, type LoadResult } from "./load.ts";
+import { findInvariantViolations } from "./verdict.ts";
 
 /** Number of concurrent fault injectors; more than one, so that faults overlap. */
 const CONCURRENT_FAULTS = 2;
@@ -21,24 +21,24 @@
 async function injectFaults(
   fleet: Fleet,
   random: Random,
-  endsAt: number,
+  deadline: number,
 ): Promise<FaultReport> {
   const injectedFaults: string[] = [];
   const names = Object.keys(FAULTS);
   const injectRepeatedly = async () => {
-    while (performance.now() < endsAt) {
+    while (performance.now() < deadline) {
       const name = random.pick(names);
       injectedFaults.push(await FAULTS[name]!(fleet, random));
       await delay(random.integer(100, 1_500));
     }
   };
-  const regressions = findRevisionRegressions(fleet, endsAt);
+  const regressions = findRevisionRegressions(fleet, deadline);
   await Promise.all([
     ...Array.from({ length: CONCURRENT_FAULTS }, injectRepeatedly),
     regressions,
   ]);
   return {
-    injectedFaults: injectedFaults,
+    injectedFaults,
     revisionRegressions: await regressions,
   };
 }
@@ -47,11 +47,11 @@
  * older configuration revision than before in the same process. */
 async function findRevisionRegressions(
   fleet: Fleet,
-  endsAt: number,
+  deadline: number,
 ): Promise<string[]> {
   const lastSeen = new Map<string, { uptime: number; revision: number }>();
   const regressions: string[] = [];
-  while (performance.now() < endsAt) {
+  while (performance.now() < deadline) {
     for (const router of fleet.routers) {
       const status = await router.getStatus();
       if (!status || status.phase === "starting") continue;
@@ -93,14 +93,9 @@
   });
   console.log(`seed ${seed}: ${faults.injectedFaults.length} faults`);
   for (const line of faults.injectedFaults) console.log(`  ${line}`);
-  const {
-    chatRequests: chats,
-    completeChats: wholeChats,
-    refusedChats,
-    failedChats: brokenChats,
-  } = result;
+  const { chatRequests, completeChats, refusedChats, failedChats } = result;
   console.log(
-    `  chats ${chats}: whole ${wholeChats}, refused ${refusedChats}, visibly broken ${brokenChats}`,
+    `  chat requests ${chatRequests}: complete ${completeChats}, refused ${refusedChats}, failed ${failedChats}`,
   );
   console.log(
     `  bookings ${result.bookings.length}, runs ${serviceRuns.length}; responses by kind ${
--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -2,8 +2,8 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { auditBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator, type LoadResult } from "./load_generator.ts";
-import { findInvariantViolations } from "./invariant_checks.ts";
+import { LoadGenerator, type LoadResult } from "./load.ts";
+import { findInvariantViolations } from "./verdict.ts";
 
 const SEED = 42;
 const PHASE_MS = 5_000;
--- a/tools/faults.ts
+++ b/tools/faults.ts
@@ -33,8 +33,8 @@
 
 async function partitionRouters(fleet: Fleet, random: Random): Promise<string> {
   const ids = random.shuffle(fleet.routers.map((router) => router.id));
-  const size = random.integer(1, ids.length - 1);
-  const [left, right] = [ids.slice(0, size), ids.slice(size)];
+  const leftSize = random.integer(1, ids.length - 1);
+  const [left, right] = [ids.slice(0, leftSize), ids.slice(leftSize)];
   const mode = random.pick(
     ["cut", "freeze", "freeze_requests", "freeze_answers"] as const,
   );
--- a/tools/free_port.ts
+++ b/tools/free_port.ts
@@ -19,7 +19,7 @@
     if (await isFree(port)) return port;
   }
   throw new Error(
-    `no free port in the ${BLOCK_SIZE} ports from ${claimed.first} that this process has locked`,
+    "no free port is left in the block that this process has locked",
   );
 }
 
@@ -31,9 +31,7 @@
     lock.unref();
     return { first: FIRST_BLOCK_PORT + index * BLOCK_SIZE, used: 0 };
   }
-  throw new Error(
-    `all ${BLOCK_COUNT} port blocks are locked by other processes`,
-  );
+  throw new Error("all port blocks are locked by other processes");
 }
 
 async function isFree(port: number): Promise<boolean> {
--- a/tools/known_red.ts
+++ b/tools/known_red.ts
@@ -29,24 +29,24 @@
   const unknown: string[] = [];
   for (const line of output.split("\n")) {
     const failed = FAILED_LINE.exec(line)?.[1];
-    const name = knownNames.find((one) => failed?.startsWith(one));
+    const name = knownNames.find((knownName) => failed?.startsWith(knownName));
     if (name) known.push(name);
     else if (failed ?? OTHER_FAILURE_LINE.test(line)) unknown.push(line.trim());
   }
-  if (known.length + unknown.length === 0) unknown.push("no failed test named");
+  if (known.length + unknown.length === 0) {
+    unknown.push("no failure line in the output");
+  }
   return { known, unknown };
 }
 
 function main(outputPath: string, listPath: string): void {
-  const classification = classifyFailures(
+  const failures = classifyFailures(
     readFileSync(outputPath, "utf8"),
     readFileSync(listPath, "utf8"),
   );
-  for (const name of classification.known) console.log(`known red: ${name}`);
-  for (const line of classification.unknown) {
-    console.error(`not known: ${line}`);
-  }
-  process.exitCode = classification.unknown.length === 0 ? 0 : 1;
+  for (const name of failures.known) console.log(`known red: ${name}`);
+  for (const line of failures.unknown) console.error(`unlisted: ${line}`);
+  process.exitCode = failures.unknown.length === 0 ? 0 : 1;
 }
 
 if (process.argv[1]?.endsWith("known_red.ts")) {
--- a/tools/router_process.ts
+++ b/tools/router_process.ts
@@ -90,7 +90,7 @@
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
     throw new Error(
-      `${this.id}: timed out after ${timeoutMs} ms waiting for: ${description}; last log lines: ${
+      `${this.id}: timed out waiting for: ${description}; last log lines: ${
         this.logLines.slice(-5).join(" | ")
       }`,
     );
