--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -27,7 +27,7 @@
     routers.map((router) =>
       router.waitFor(
         (status) => status.configuration.revision === revision,
-        "the published revision",
+        "revision",
       )
     ),
   );
--- a/tests/tools/prompt_losses_test.ts
+++ b/tests/tools/prompt_losses_test.ts
@@ -43,14 +43,14 @@
   t.is(parseLogLine("built in 1.6 s"), undefined);
 });
 
-test("a prompt that moves from a healthy engine is fetched, or fetched from the wrong engine if that one is named", (t) => {
+test("a prompt is moved from a healthy engine, or fetched from the wrong engine if another one is named", (t) => {
   t.deepEqual(
     countMisses(
       formatRequestSent(1, "e-0", 0),
       formatRequestSent(2, "e-1", 0, "10.0.0.0:1"),
     ),
     [
-      { outcome: "fetched", holders: "healthy", requests: 1, tokens: 100 },
+      { outcome: "moved", holders: "healthy", requests: 1, tokens: 100 },
     ],
   );
   t.deepEqual(
--- a/tools/known_red.ts
+++ b/tools/known_red.ts
@@ -33,9 +33,7 @@
     if (name) known.push(name);
     else if (failed ?? OTHER_FAILURE_LINE.test(line)) unknown.push(line.trim());
   }
-  if (known.length + unknown.length === 0) {
-    unknown.push("no failure line in the output");
-  }
+  if (known.length + unknown.length === 0) unknown.push("no failure reported");
   return { known, unknown };
 }
 
--- a/tools/prompt_losses.ts
+++ b/tools/prompt_losses.ts
@@ -10,7 +10,7 @@
 /** How the chosen engine got the shared prompt parts that were not in its cache. */
 export type CacheMissOutcome =
   /** It was told to fetch them from an engine that had them. */
-  | "fetched"
+  | "moved"
   /** It was told to fetch them from an engine that never had them. */
   | "fetched from wrong engine"
   /** It was not told of any engine to fetch from. */
@@ -116,7 +116,7 @@
     if (partHolders.has(target)) return "cached, unknown to host";
     const source = this.engineByAddress.get(sourceAddress ?? "");
     if (source === undefined) return "recomputed";
-    return partHolders.has(source) ? "fetched" : "fetched from wrong engine";
+    return partHolders.has(source) ? "moved" : "fetched from wrong engine";
   }
 
   private describeHolders(
