--- a/tests/system/bound_test.ts
+++ b/tests/system/bound_test.ts
@@ -106,8 +106,8 @@
     async (fleet, caller) => {
       const chats: string[] = [];
       for (let index = 0; chats.length < 12; index++) {
-        const place = await findPlacement(fleet, `chat-${index}`);
-        if (place.engine === fleet.engines[0]) chats.push(`chat-${index}`);
+        const placement = await findPlacement(fleet, `chat-${index}`);
+        if (placement.engine === fleet.engines[0]) chats.push(`chat-${index}`);
       }
       const ids = fleet.routers.map((router) => router.id);
       fleet.proxyMesh.part(ids.slice(0, 2), ids.slice(2), "freeze");
--- a/tests/system/complete_response_test.ts
+++ b/tests/system/complete_response_test.ts
@@ -13,10 +13,10 @@
   test.serial(`the caller gets the complete response despite an engine with fault ${fault}`, async (t) => {
     const settings = { routing: { stallTimeoutMs: 500 } };
     await withFleet({ settings }, async (fleet, caller) => {
-      const place = await findPlacement(fleet, "c1");
-      place.engine.fault = fault;
+      const placement = await findPlacement(fleet, "c1");
+      placement.engine.fault = fault;
       const response = await caller.chat(
-        { customer: CUSTOMER, router: place.entry.address },
+        { customer: CUSTOMER, router: placement.entry.address },
         "c1",
         ["hello"],
         40,
@@ -24,7 +24,7 @@
       t.true(response.isComplete);
       t.is(response.text, getWholeText("hello", 40));
       t.true(
-        place.engine.ledger.runs.length + (fault === "silent" ? 1 : 0) > 0,
+        placement.engine.ledger.runs.length + (fault === "silent" ? 1 : 0) > 0,
       );
     });
   });
--- a/tests/system/unexecuted_request_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -6,7 +6,7 @@
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "rodar/dispatch";
-/** Duration of a pause of a router process, in milliseconds; long enough for the router to detect it. */
+/** Time for which a router process is paused, in milliseconds; longer than the gap that a router detects as a pause. */
 const PAUSE_MS = 1_800;
 
 test.serial("a request reported as not run is not run by a paused owner that resumes later", async (t) => {
--- a/tests/tools/prompt_losses_test.ts
+++ b/tests/tools/prompt_losses_test.ts
@@ -28,14 +28,14 @@
 function formatRequestSent(
   second: number,
   engine: string,
-  kept: number,
+  keptTokens: number,
   fetchFrom = "",
 ) {
   const from = fetchFrom && ` fetchFrom=${fetchFrom}`;
   return formatLine(
     second,
     "g-0",
-    `request=r upstream=${engine} part=7 sharedTokens=100 keptTokens=${kept}${from} event=request_sent`,
+    `request=r upstream=${engine} part=7 sharedTokens=100 keptTokens=${keptTokens}${from} event=request_sent`,
   );
 }
 
--- a/tools/bound_audit.ts
+++ b/tools/bound_audit.ts
@@ -1,5 +1,5 @@
 /** Load balance of a pool of engines, computed from their ledgers. */
-export interface BoundReport {
+export interface LoadBoundReport {
   /** Maximum number of requests in flight on one engine. */
   peakInFlight: number;
   /** Number of request starts at which the engine's load exceeded the bound. */
@@ -16,7 +16,7 @@
 }
 
 /** Load bound that a pool must keep. */
-export interface BoundRule {
+export interface LoadBoundRule {
   multiple: number;
   /** Requests that an engine may have in flight however low the mean is. */
   minimum: number;
@@ -38,8 +38,8 @@
  * @param rule Load bound to check. */
 export function auditBound(
   pool: readonly (readonly [number, number][])[],
-  rule: BoundRule,
-): BoundReport {
+  rule: LoadBoundRule,
+): LoadBoundReport {
   const changes: LoadChange[] = pool.flatMap((loads, engine) =>
     loads.map(([at, load]) => ({ at, engine, load }))
   );
--- a/tools/prompt_losses.ts
+++ b/tools/prompt_losses.ts
@@ -9,13 +9,13 @@
 
 /** How the chosen engine got the shared prompt parts that were not in its cache. */
 export type CacheMissOutcome =
-  /** It was told to fetch them from an engine that had them. */
+  /** The request named an engine to fetch them from, and that engine had them. */
   | "moved"
-  /** It was told to fetch them from an engine that never had them. */
+  /** The request named an engine to fetch them from that never had them. */
   | "fetched from wrong engine"
-  /** It was not told of any engine to fetch from. */
+  /** The request named no engine to fetch them from. */
   | "recomputed"
-  /** It had them, but the host did not know. */
+  /** The engine had them, but the host did not know. */
   | "cached, unknown to host";
 
 /** State of an engine that had the prompt parts when the request was sent to another engine. */
