--- a/tests/system/backoff_test.ts
+++ b/tests/system/backoff_test.ts
@@ -18,18 +18,18 @@
 
 test.serial("services that ask for a backoff get no requests until it ends, and the other services serve the callers", async (t) => {
   await withFleet({ services: 4 }, async (fleet, caller) => {
-    const refusing = fleet.services.slice(0, 2);
+    const refusingServices = fleet.services.slice(0, 2);
     const send = (index: number) => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.book({ customer: CUSTOMER, router }, `shift ${index}`);
     };
     await waitUntil("bookings run", async () => (await send(0)).isComplete);
-    for (const service of refusing) service.backoffSeconds = BACKOFF_S;
+    for (const service of refusingServices) service.backoffSeconds = BACKOFF_S;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       const response = await send(index);
       t.true(response.isComplete, response.kind);
     }
-    const refusalCounts = refusing.map((service) =>
+    const refusalCounts = refusingServices.map((service) =>
       service.ledger.refusedAt.length
     );
     const maxRequests = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
@@ -71,24 +71,24 @@
     settings: { routing: { reportIntervalMs: 50 } },
   };
   await withFleet(options, async (fleet, caller) => {
-    const [refusing, other] = fleet.engines;
+    const [refusingEngine, other] = fleet.engines;
     const send = (chat: string) => {
       const router = fleet.routers[0]!.address;
       return caller.chat({ customer: "kilima/rosters", router }, chat, ["a"]);
     };
     await waitUntil("chats run", async () => (await send("c")).isComplete);
-    refusing!.backoffSeconds = BACKOFF_S;
+    refusingEngine!.backoffSeconds = BACKOFF_S;
     let chats = 0;
     await waitUntil("the engine has refused a request", async () => {
       await send(`c-${chats++}`);
-      return refusing!.ledger.refusedAt.length > 0;
+      return refusingEngine!.ledger.refusedAt.length > 0;
     });
     await delay(100);
-    const before = refusing!.requests;
+    const before = refusingEngine!.requests;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       t.true((await send(`d-${index}`)).isComplete);
     }
-    t.is(refusing!.requests, before);
+    t.is(refusingEngine!.requests, before);
     t.true(other!.ledger.runs.length >= REQUEST_COUNT);
   });
 });
--- a/tests/system/routed_request_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -9,17 +9,17 @@
   try {
     const [first, second] = fleet.routers;
     const customer = "kilima/rosters";
-    const opening = "the shift history of the whole season ".repeat(20);
+    const firstMessage = "the shift history of the whole season ".repeat(20);
     const response = await caller.chat(
       { customer, router: first!.address },
       "c1",
-      [opening],
+      [firstMessage],
     );
-    t.is(response.text, getWholeText(opening, 20));
+    t.is(response.text, getWholeText(firstMessage, 20));
     const next = await caller.chat(
       { customer, router: second!.address },
       "c1",
-      [opening, response.text, "and now?"],
+      [firstMessage, response.text, "and now?"],
     );
     t.true(next.isComplete);
     const runs = fleet.engines.flatMap((engine) => engine.ledger.runs);
--- a/tools/bench_control.ts
+++ b/tools/bench_control.ts
@@ -23,11 +23,11 @@
 /** Measures control traffic and resource use for several fleet sizes. */
 export async function benchControl(): Promise<ControlRow[]> {
   const rows: ControlRow[] = [];
-  for (const routers of FLEET_SIZES) rows.push(await runSize(routers));
+  for (const routers of FLEET_SIZES) rows.push(await benchFleetSize(routers));
   return rows;
 }
 
-async function runSize(routers: number): Promise<ControlRow> {
+async function benchFleetSize(routers: number): Promise<ControlRow> {
   const engines = routers * ENGINES_PER_ROUTER;
   const fleet = await Fleet.create({ routers, engines, services: 0 });
   try {
--- a/tools/bench_gateways.ts
+++ b/tools/bench_gateways.ts
@@ -88,7 +88,7 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-async function runSize(gateways: number) {
+async function benchFleetSize(gateways: number) {
   const fleet = await SoakFleet.create({ seed: 1, gateways, ...UPSTREAMS });
   try {
     await delay(SETTLE_MS);
@@ -108,4 +108,4 @@
   }
 }
 
-for (const size of FLEET_SIZES) console.table([await runSize(size)]);
+for (const size of FLEET_SIZES) console.table([await benchFleetSize(size)]);
--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -110,8 +110,8 @@
   await delay(PHASE_MS / 2);
   logStep("draining and stopping r3");
   fleet.routers[2]!.signal("SIGTERM");
-  const code = await fleet.routers[2]!.waitForExit();
-  logStep(`r3 exited with code ${code}`);
+  const exitCode = await fleet.routers[2]!.waitForExit();
+  logStep(`r3 exited with code ${exitCode}`);
   violations = printReport(fleet, await load.stop());
 } finally {
   await fleet.close();
--- a/tools/faults.ts
+++ b/tools/faults.ts
@@ -26,9 +26,9 @@
 async function drainRouter(fleet: Fleet, random: Random): Promise<string> {
   const router = random.pick(fleet.routers);
   router.signal("SIGTERM");
-  const code = await router.waitForExit();
+  const exitCode = await router.waitForExit();
   router.start();
-  return `drained ${router.id}, exit code ${code}`;
+  return `drained ${router.id}, exit code ${exitCode}`;
 }
 
 async function partitionRouters(fleet: Fleet, random: Random): Promise<string> {
--- a/tools/prompt_losses.ts
+++ b/tools/prompt_losses.ts
@@ -7,7 +7,7 @@
 /** Time after a broken connection for which a gateway may exclude an engine, in seconds. */
 const CONNECTION_FAILURE_WINDOW_SECONDS = 3;
 
-/** How the chosen engine got the shared prompt parts that were not in its cache. */
+/** How an engine got the shared prompt parts that its gateway did not take to be in the engine's cache. */
 export type CacheMissOutcome =
   /** The request named an engine to fetch them from, and that engine had them. */
   | "moved"
--- a/tools/timed_engine.ts
+++ b/tools/timed_engine.ts
@@ -30,7 +30,7 @@
     const worker = await FakeWorker.create(id);
     const engine = new TimedEngine(worker, onArrival);
     worker.behaviour = (request, response) =>
-      void engine.handle(request, response);
+      void engine.handleRequest(request, response);
     return engine;
   }
 
@@ -61,7 +61,7 @@
     await this.worker.close();
   }
 
-  private async handle(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
