--- a/tests/system/path_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -3,25 +3,25 @@
 import { Caller } from "../../tools/caller.ts";
 import { Fleet } from "../../tools/fleet.ts";
 
-test.serial("a returning chat is answered whole through any router and finds its context warm", async (t) => {
+test.serial("a follow-up message of a chat gets a complete response through another router and reuses the prompt cache", async (t) => {
   const fleet = await Fleet.create();
   const caller = Caller.create();
   try {
     const [first, second] = fleet.routers;
     const customer = "kilima/rosters";
-    const opening = "the shift history of the whole season ".repeat(20);
-    const answer = await caller.chat(
+    const firstMessage = "the shift history of the whole season ".repeat(20);
+    const response = await caller.chat(
       { customer, router: first!.address },
       "c1",
-      [opening],
+      [firstMessage],
     );
-    t.is(answer.text, getWholeText(opening, 20));
+    t.is(response.text, getWholeText(firstMessage, 20));
     const next = await caller.chat(
       { customer, router: second!.address },
       "c1",
-      [opening, answer.text, "and now?"],
+      [firstMessage, response.text, "and now?"],
     );
-    t.true(next.whole);
+    t.true(next.isComplete);
     const runs = fleet.engines.flatMap((engine) => engine.ledger.runs);
     t.is(runs.length, 2);
     t.true(runs[1]!.cachedTokens >= runs[0]!.promptTokens);
@@ -31,13 +31,13 @@
   }
 });
 
-test.serial("a booking with the same key runs once and its answer is given again by every router", async (t) => {
+test.serial("a booking with the same key runs once and its response is replayed by every router", async (t) => {
   const fleet = await Fleet.create();
   const caller = Caller.create();
   try {
-    const answers = [];
+    const responses = [];
     for (const router of fleet.routers) {
-      answers.push(
+      responses.push(
         await caller.book(
           { customer: "rodar/dispatch", router: router.address },
           "shift 1",
@@ -45,9 +45,13 @@
         ),
       );
     }
-    t.deepEqual(answers.map((answer) => answer.status), [200, 200, 200]);
-    t.deepEqual(answers.map((answer) => answer.replayed), [false, true, true]);
-    t.is(new Set(answers.map((answer) => answer.text)).size, 1);
+    t.deepEqual(responses.map((response) => response.status), [200, 200, 200]);
+    t.deepEqual(responses.map((response) => response.isReplayed), [
+      false,
+      true,
+      true,
+    ]);
+    t.is(new Set(responses.map((response) => response.text)).size, 1);
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 1);
   } finally {
     await caller.close();
--- a/tests/tools/prompt_losses_test.ts
+++ b/tests/tools/prompt_losses_test.ts
@@ -1,70 +1,113 @@
 import test from "ava";
 import { parseLogLine } from "../../tools/log_line.ts";
-import { PromptLosses } from "../../tools/prompt_losses.ts";
+import { PromptCacheMisses } from "../../tools/prompt_losses.ts";
 
 const ENGINES = ["e-0", "e-1", "e-2"];
 
-/** Writes a line at a second after the start, as a bench prints it with something before. */
-function write(second: number, host: string, rest: string): string {
+/** Builds a log line at the given second, with a prefix as benchmarks print it. */
+function formatLine(second: number, host: string, rest: string): string {
   const time = new Date(second * 1_000).toISOString();
   return ` ${second} ${host} level=info time=${time} host=${host} ${rest}`;
 }
 
-function count(...texts: readonly string[]) {
-  const losses = PromptLosses.create();
+function countMisses(...texts: readonly string[]) {
+  const losses = PromptCacheMisses.create();
   const published = ENGINES.map((engine, index) =>
-    write(
+    formatLine(
       0,
       "g-0",
       `upstream=${engine} state=live address=10.0.0.${index}:1 event=upstream_published`,
     )
   );
   for (const text of [...published, ...texts]) {
-    losses.take(parseLogLine(text)!);
+    losses.processLine(parseLogLine(text)!);
   }
-  return losses.getLosses();
+  return losses.getMisses();
 }
 
-function send(second: number, engine: string, kept: number, fetchFrom = "") {
+function formatRequestSent(
+  second: number,
+  engine: string,
+  keptTokens: number,
+  fetchFrom = "",
+) {
   const from = fetchFrom && ` fetchFrom=${fetchFrom}`;
-  return write(
+  return formatLine(
     second,
     "g-0",
-    `request=r upstream=${engine} part=7 sharedTokens=100 keptTokens=${kept}${from} event=request_sent`,
+    `request=r upstream=${engine} part=7 sharedTokens=100 keptTokens=${keptTokens}${from} event=request_sent`,
   );
 }
 
-test("a line that is no log line is left out", (t) => {
+test("a line that is not a log line is ignored", (t) => {
   t.is(parseLogLine("built in 1.6 s"), undefined);
 });
 
-test("a prompt that leaves a sound engine is moved, or fetched in vain where the wrong one is named", (t) => {
-  t.deepEqual(count(send(1, "e-0", 0), send(2, "e-1", 0, "10.0.0.0:1")), [
-    { fate: "moved", holders: "sound", requests: 1, tokens: 100 },
-  ]);
-  t.deepEqual(count(send(1, "e-0", 0), send(2, "e-1", 40, "10.0.0.2:1")), [
-    { fate: "fetched in vain", holders: "sound", requests: 1, tokens: 60 },
-  ]);
+test("a prompt is moved from a healthy engine, or fetched from the wrong engine if another one is named", (t) => {
+  t.deepEqual(
+    countMisses(
+      formatRequestSent(1, "e-0", 0),
+      formatRequestSent(2, "e-1", 0, "10.0.0.0:1"),
+    ),
+    [
+      { outcome: "moved", holders: "healthy", requests: 1, tokens: 100 },
+    ],
+  );
+  t.deepEqual(
+    countMisses(
+      formatRequestSent(1, "e-0", 0),
+      formatRequestSent(2, "e-1", 40, "10.0.0.2:1"),
+    ),
+    [
+      {
+        outcome: "fetched from wrong engine",
+        holders: "healthy",
+        requests: 1,
+        tokens: 60,
+      },
+    ],
+  );
 });
 
-test("it is told how the engine that had the prompt was", (t) => {
-  const broken = write(
+test("a miss records the state of the engine that had the prompt", (t) => {
+  const broken = formatLine(
     1.5,
     "g-0",
     'upstream=e-0 detail="other side closed" event=attempt_failed',
   );
-  const ejected = write(
+  const ejected = formatLine(
     1.6,
     "g-0",
     "upstream=e-0 ejectedMs=1000 event=upstream_ejected",
   );
-  const [first] = count(send(1, "e-0", 0), broken, send(2, "e-1", 0));
-  t.like(first, { fate: "read", holders: "broken" });
-  const [second] = count(send(1, "e-0", 0), broken, ejected, send(2, "e-1", 0));
-  t.like(second, { fate: "read", holders: "ejected" });
+  const [first] = countMisses(
+    formatRequestSent(1, "e-0", 0),
+    broken,
+    formatRequestSent(2, "e-1", 0),
+  );
+  t.like(first, { outcome: "recomputed", holders: "broken" });
+  const [second] = countMisses(
+    formatRequestSent(1, "e-0", 0),
+    broken,
+    ejected,
+    formatRequestSent(2, "e-1", 0),
+  );
+  t.like(second, { outcome: "recomputed", holders: "ejected" });
 });
 
-test("what was not used for long, or is kept, is no loss", (t) => {
-  t.deepEqual(count(send(1, "e-0", 0), send(12, "e-1", 0)), []);
-  t.deepEqual(count(send(1, "e-0", 0), send(2, "e-0", 100)), []);
+test("a prompt that was not used for long or is still cached is not a miss", (t) => {
+  t.deepEqual(
+    countMisses(
+      formatRequestSent(1, "e-0", 0),
+      formatRequestSent(12, "e-1", 0),
+    ),
+    [],
+  );
+  t.deepEqual(
+    countMisses(
+      formatRequestSent(1, "e-0", 0),
+      formatRequestSent(2, "e-0", 100),
+    ),
+    [],
+  );
 });
--- a/tools/load.ts
+++ b/tools/load.ts
@@ -1,115 +1,120 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { getWholeText } from "../fakes/answer_text.ts";
 import { Random } from "../src/random/random.ts";
-import { Caller, type ReceivedAnswer } from "./caller.ts";
+import { Caller, type ReceivedResponse } from "./caller.ts";
 
-/** What a load does. */
+/** Options of a load generator. */
 export interface LoadOptions {
   seed: number;
-  /** Addresses that callers know at first. */
+  /** Returns the router addresses of which callers ask for an address to use. */
   routers: () => string[];
-  /** Chats that go on at once, per customer. */
-  chats: Record<string, number>;
-  /** Bookers that go on at once. */
-  bookers: number;
-  /** Tokens of one answer. */
-  answerTokens: number;
-  /** Characters of a chat's first message. */
-  openingLength: number;
-  /** Least and greatest pause between two messages of a chat. */
+  /** Number of concurrent chats by customer. */
+  chatsByCustomer: Record<string, number>;
+  /** Number of concurrent loops that send bookings. */
+  bookingLoops: number;
+  /** Tokens of each chat response. */
+  responseTokens: number;
+  /** Length of a chat's first message, in characters. */
+  firstMessageLength: number;
+  /** Minimum and maximum pause between two requests of a loop, in milliseconds. */
   pauseMs: [number, number];
-  /** Times a booking with no certain end is sent again. */
-  bookingTries: number;
-  /** Messages after which a chat ends and another begins. */
-  turns: number;
+  /** Maximum number of times that a booking with an idempotency key is sent until its response is complete. */
+  maxBookingAttempts: number;
+  /** Number of messages after which a chat ends and the next one begins. */
+  turnsPerChat: number;
 }
 
-/** One booking with all answers to it. */
+/** A booking and all responses to it. */
 export interface BookingRecord {
-  /** Body of the request, which names it. */
+  /** Body of the request, which identifies the booking. */
   id: string;
-  keyed: boolean;
-  answers: ReceivedAnswer[];
+  hasIdempotencyKey: boolean;
+  responses: ReceivedResponse[];
 }
 
-/** What callers received. */
+/** Counts and records of the responses that callers received. */
 export interface LoadResult {
-  chats: number;
-  wholeChats: number;
-  /** Whole answers that were not what the engine had to say. */
-  wrongChats: number;
+  chatRequests: number;
+  completeChats: number;
+  /** Complete responses whose text is not the one that the engine generates for the request. */
+  mismatchedChats: number;
   refusedChats: number;
-  brokenChats: number;
-  kinds: Record<string, number>;
+  /** Chat requests whose connection failed or whose stream ended before its end marker. */
+  failedChats: number;
+  responsesByKind: Record<string, number>;
   bookings: BookingRecord[];
-  /** Time of each whole chat, in milliseconds. */
-  chatTimes: number[];
+  /** Duration of each complete chat request, in milliseconds. */
+  chatDurationsMs: number[];
 }
 
-/** The address a caller was told, until its lifetime is over. */
-interface KeptAddress {
+/** Router address that a caller uses until its lifetime expires. */
+interface CachedAddress {
   address: string;
-  until: number;
+  expiresAt: number;
 }
 
-/** A load of returning chats and bookings, as many callers make it. */
-export class Load {
+/** Generates a load of multi-turn chats and bookings, as many concurrent callers would. */
+export class LoadGenerator {
   readonly result: LoadResult = {
-    chats: 0,
-    wholeChats: 0,
-    wrongChats: 0,
+    chatRequests: 0,
+    completeChats: 0,
+    mismatchedChats: 0,
     refusedChats: 0,
-    brokenChats: 0,
-    kinds: {},
+    failedChats: 0,
+    responsesByKind: {},
     bookings: [],
-    chatTimes: [],
+    chatDurationsMs: [],
   };
   private readonly caller = Caller.create();
-  private readonly workers: Promise<void>[] = [];
+  private readonly loops: Promise<void>[] = [];
   private isStopped = false;
-  private count = 0;
+  private lastId = 0;
 
   private constructor(private readonly options: LoadOptions) {}
 
-  /** Starts a load.
-   * @param options What it does. */
-  static start(options: LoadOptions): Load {
-    const load = new Load(options);
+  /** Starts a load generator.
+   * @param options Options of the load. */
+  static start(options: LoadOptions): LoadGenerator {
+    const load = new LoadGenerator(options);
     let seed = options.seed;
-    for (const [customer, chats] of Object.entries(options.chats)) {
+    for (const [customer, chats] of Object.entries(options.chatsByCustomer)) {
       for (let index = 0; index < chats; index++) {
-        load.workers.push(load.chatOn(customer, Random.create(++seed)));
+        load.loops.push(load.runChatLoop(customer, Random.create(++seed)));
       }
     }
-    for (let index = 0; index < options.bookers; index++) {
-      load.workers.push(load.bookOn(Random.create(++seed)));
+    for (let index = 0; index < options.bookingLoops; index++) {
+      load.loops.push(load.runBookingLoop(Random.create(++seed)));
     }
     return load;
   }
 
-  /** Ends the load after the requests under way. */
+  /** Stops the load once the requests in flight have ended; returns the result. */
   async stop(): Promise<LoadResult> {
     this.isStopped = true;
-    await Promise.all(this.workers);
+    await Promise.all(this.loops);
     await this.caller.close();
     return this.result;
   }
 
-  private async chatOn(customer: string, random: Random): Promise<void> {
-    const kept = { address: "", until: 0 };
+  private async runChatLoop(customer: string, random: Random): Promise<void> {
+    const cached = { address: "", expiresAt: 0 };
     while (!this.isStopped) {
-      const chatId = `chat-${++this.count}`;
+      const chatId = `chat-${++this.lastId}`;
       const messages = [
         `${chatId} `.repeat(
-          Math.ceil(this.options.openingLength / (chatId.length + 1)),
+          Math.ceil(this.options.firstMessageLength / (chatId.length + 1)),
         ),
       ];
-      for (let turn = 0; turn < this.options.turns && !this.isStopped; turn++) {
-        const text = await this.chatOnce(
+      for (
+        let turn = 0;
+        turn < this.options.turnsPerChat && !this.isStopped;
+        turn++
+      ) {
+        const text = await this.sendChatMessage(
           customer,
           chatId,
           messages,
-          kept,
+          cached,
           random,
         );
         if (text === undefined) break;
@@ -119,97 +124,103 @@
     }
   }
 
-  private async chatOnce(
+  private async sendChatMessage(
     customer: string,
     chatId: string,
     messages: string[],
-    kept: KeptAddress,
+    cached: CachedAddress,
     random: Random,
   ): Promise<string | undefined> {
     const startedAt = performance.now();
-    const tokens = this.options.answerTokens;
-    const router = await this.chooseRouter(kept, random);
-    const answer = await this.caller.chat(
+    const tokens = this.options.responseTokens;
+    const router = await this.chooseRouter(cached, random);
+    const reply = await this.caller.chat(
       { customer, router },
       chatId,
       messages,
       tokens,
     );
     const { result } = this;
-    result.chats += 1;
-    this.note(answer, kept);
-    if (!answer.whole) {
-      if (answer.status === 200 || answer.status === 0) result.brokenChats += 1;
+    result.chatRequests += 1;
+    this.recordResponse(reply, cached);
+    if (!reply.isComplete) {
+      if (reply.status === 200 || reply.status === 0) result.failedChats += 1;
       else result.refusedChats += 1;
       await this.pause(random);
       return undefined;
     }
-    result.wholeChats += 1;
-    result.chatTimes.push(performance.now() - startedAt);
-    if (answer.text !== getWholeText(messages.at(-1)!, tokens)) {
-      result.wrongChats += 1;
+    result.completeChats += 1;
+    result.chatDurationsMs.push(performance.now() - startedAt);
+    if (reply.text !== getWholeText(messages.at(-1)!, tokens)) {
+      result.mismatchedChats += 1;
     }
-    return answer.text;
+    return reply.text;
   }
 
-  private async bookOn(random: Random): Promise<void> {
-    const kept = { address: "", until: 0 };
+  private async runBookingLoop(random: Random): Promise<void> {
+    const cached = { address: "", expiresAt: 0 };
     while (!this.isStopped) {
-      const id = `booking-${++this.count}`;
+      const id = `booking-${++this.lastId}`;
       const record: BookingRecord = {
         id,
-        keyed: random.fraction() < 0.7,
-        answers: [],
+        hasIdempotencyKey: random.fraction() < 0.7,
+        responses: [],
       };
       this.result.bookings.push(record);
-      const tries = record.keyed ? this.options.bookingTries : 1;
-      for (let attempt = 0; attempt < tries; attempt++) {
-        const router = await this.chooseRouter(kept, random);
+      const maxAttempts = record.hasIdempotencyKey
+        ? this.options.maxBookingAttempts
+        : 1;
+      for (let attempt = 0; attempt < maxAttempts; attempt++) {
+        const router = await this.chooseRouter(cached, random);
         const options = {
           customer: "rodar/dispatch",
           router,
           timeoutMs: 8_000,
         };
-        const answer = await this.caller.book(
+        const response = await this.caller.book(
           options,
           id,
-          record.keyed ? id : undefined,
+          record.hasIdempotencyKey ? id : undefined,
         );
-        record.answers.push(answer);
-        this.note(answer, kept);
-        if (answer.whole) break;
+        record.responses.push(response);
+        this.recordResponse(response, cached);
+        if (response.isComplete) break;
         await delay(random.integer(5, 400));
       }
       await this.pause(random);
     }
   }
 
-  /** Returns the address a caller keeps, or asks for one; uses the router asked where it gives none. */
+  /** Returns the cached address or asks up to three routers for one; falls back to a known router if none gives any. */
   private async chooseRouter(
-    kept: KeptAddress,
+    cached: CachedAddress,
     random: Random,
   ): Promise<string> {
-    if (performance.now() < kept.until) return kept.address;
-    const known = random.shuffle(this.options.routers());
-    for (const router of known.slice(0, 3)) {
-      const found = await this.caller.locate(router);
-      if (found.addresses.length === 0) continue;
-      kept.address = random.pick(found.addresses);
-      kept.until = performance.now() + found.lifetimeMs;
-      return kept.address;
+    if (performance.now() < cached.expiresAt) return cached.address;
+    const routers = random.shuffle(this.options.routers());
+    for (const router of routers.slice(0, 3)) {
+      const response = await this.caller.locate(router);
+      if (response.addresses.length === 0) continue;
+      cached.address = random.pick(response.addresses);
+      cached.expiresAt = performance.now() + response.lifetimeMs;
+      return cached.address;
     }
-    return known[0]!;
+    return routers[0]!;
   }
 
-  /** Takes note of an answer; a caller whose connection failed asks for an address anew. */
-  private note(answer: ReceivedAnswer, kept: KeptAddress): void {
-    if (answer.status === 0) kept.until = 0;
-    this.countKind(answer);
+  /** Records a response; after a failed connection the cached address is dropped. */
+  private recordResponse(
+    response: ReceivedResponse,
+    cached: CachedAddress,
+  ): void {
+    if (response.status === 0) cached.expiresAt = 0;
+    this.countKind(response);
   }
 
-  private countKind(answer: ReceivedAnswer): void {
-    const kind = answer.whole ? "whole" : answer.kind;
-    this.result.kinds[kind] = (this.result.kinds[kind] ?? 0) + 1;
+  private countKind(response: ReceivedResponse): void {
+    const kind = response.isComplete ? "complete" : response.kind;
+    this.result.responsesByKind[kind] =
+      (this.result.responsesByKind[kind] ?? 0) + 1;
   }
 
   private async pause(random: Random): Promise<void> {
--- a/tools/verdict.ts
+++ b/tools/verdict.ts
@@ -1,15 +1,16 @@
 import type { LedgerRun } from "../fakes/ledger.ts";
 import type { BookingRecord, LoadResult } from "./load.ts";
 
-/** Promises that were not kept, from the stand-ins' ledgers and what callers received; one line each. */
-export function findBrokenPromises(
-  result: Pick<LoadResult, "wrongChats" | "bookings">,
+/** Compares the responses that callers received with the ledgers of the fake upstreams; returns a line for each
+ * violation of an invariant. */
+export function findInvariantViolations(
+  result: Pick<LoadResult, "mismatchedChats" | "bookings">,
   serviceRuns: readonly LedgerRun[],
 ): string[] {
-  const broken: string[] = [];
-  if (result.wrongChats > 0) {
-    broken.push(
-      `${result.wrongChats} chats were given a whole answer that was not theirs`,
+  const violations: string[] = [];
+  if (result.mismatchedChats > 0) {
+    violations.push(
+      `${result.mismatchedChats} chat requests got a complete response with an unexpected text`,
     );
   }
   const runsByBody = new Map<string, number>();
@@ -17,29 +18,31 @@
     runsByBody.set(run.body, (runsByBody.get(run.body) ?? 0) + 1);
   }
   for (const booking of result.bookings) {
-    const reason = judgeBooking(booking, runsByBody.get(booking.id) ?? 0);
-    if (reason) broken.push(`${booking.id}: ${reason}`);
+    const reason = checkBooking(booking, runsByBody.get(booking.id) ?? 0);
+    if (reason) violations.push(`${booking.id}: ${reason}`);
   }
-  return broken;
+  return violations;
 }
 
-function judgeBooking(
+function checkBooking(
   booking: BookingRecord,
   runs: number,
 ): string | undefined {
-  const history = booking.answers.map((answer) =>
-    `${answer.kind || "done"}/${answer.ran}@${answer.router}`
+  const history = booking.responses.map((response) =>
+    `${response.kind || "done"}/${response.ran}@${response.router}`
   ).join(" ");
-  const isDone = booking.answers.some((answer) => answer.whole);
-  const areAllNotRun = booking.answers.every((answer) => answer.ran === "no");
+  const isDone = booking.responses.some((response) => response.isComplete);
+  const areAllReportedNotRun = booking.responses.every((response) =>
+    response.ran === "no"
+  );
   if (runs > 1) return `ran ${runs} times: ${history}`;
-  if (isDone && runs === 0) return `answered as done but never ran: ${history}`;
-  if (areAllNotRun && booking.answers.length > 0 && runs > 0) {
-    return `answered as not run but ran: ${history}`;
+  if (isDone && runs === 0) return `reported as done but never ran: ${history}`;
+  if (areAllReportedNotRun && booking.responses.length > 0 && runs > 0) {
+    return `reported as not run but ran: ${history}`;
   }
   if (
     isDone &&
-    !booking.answers.some((answer) => answer.text.includes(booking.id))
-  ) return `wrong answer: ${history}`;
+    !booking.responses.some((response) => response.text.includes(booking.id))
+  ) return `wrong response: ${history}`;
   return undefined;
 }
