--- a/src/configuration/configuration_keeper.ts
+++ b/src/configuration/configuration_keeper.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "../logging/logger.ts";
 import type { FramePort } from "../peer/frame_port.ts";
 import type { FrameOf } from "../peer/frame_schema.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import { CustomerDirectory } from "./customer_directory.ts";
 import type { PublishedValue } from "./document_schema.ts";
 import { DocumentStore } from "./document_store.ts";
@@ -19,7 +19,7 @@
   system: ActorSystem;
   logger: Logger;
   audit: AuditTrail;
-  directory: PeerDirectory;
+  connectionPool: PeerConnectionPool;
 }
 
 type ReplicaMessages = {
@@ -176,7 +176,7 @@
 
   private async pull(peerId: string, after: number): Promise<boolean> {
     let mergeDone = Promise.resolve();
-    const isComplete = await this.options.directory.gather(
+    const isComplete = await this.options.connectionPool.requestStream(
       peerId,
       (exchange) => ({ type: "pull", exchange, after }),
       (frame) => {
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "../logging/logger.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { LoadTable } from "../owner/load_table.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import type { PlacementTable } from "../placement/placement_table.ts";
 import { POLICIES } from "../placement/policies.ts";
 import { Random } from "../random/random.ts";
@@ -31,7 +31,7 @@
 export interface DispatcherOptions {
   settings: Settings;
   logger: Logger;
-  directory: PeerDirectory;
+  connectionPool: PeerConnectionPool;
   loads: LoadTable;
   crashGuard: CrashGuard;
   getView: () => FleetView;
@@ -209,7 +209,7 @@
     const remainingMs = request.deadlineAt - readClock();
     if (remainingMs <= 0) return { type: "expired" };
     if (disconnectSignal.aborted) return { type: "abandoned" };
-    const client = await this.options.directory.getClient(ownerId);
+    const client = await this.options.connectionPool.getClient(ownerId);
     if (!client) {
       return {
         type: "unreachable",
--- a/src/entry/entry_context.ts
+++ b/src/entry/entry_context.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "../logging/logger.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import type { PlacementTable } from "../placement/placement_table.ts";
 import type { RouterStatus } from "../router/router_status.ts";
 import type { Settings } from "../settings/settings_schema.ts";
@@ -21,7 +21,7 @@
   metrics: Metrics;
   audit: AuditTrail;
   configuration: ConfigurationKeeper;
-  directory: PeerDirectory;
+  connectionPool: PeerConnectionPool;
   dispatcher: Dispatcher;
   outcomes: OutcomeStore;
   getView: () => FleetView;
--- a/src/entry/run_request.ts
+++ b/src/entry/run_request.ts
@@ -3,7 +3,7 @@
 import { Failure } from "../errors/failure.ts";
 import { hashRequest } from "../hashing/request_fingerprint.ts";
 import { KeyClaim } from "../witness/key_claim.ts";
-import { readKeyTime } from "../witness/key_time.ts";
+import { parseKeyTimestamp } from "../witness/key_timestamp.ts";
 import type { KeyRecord } from "../witness/key_record.ts";
 import { createDisconnectSignal } from "./caller_checks.ts";
 import type { EntryContext } from "./entry_context.ts";
@@ -73,7 +73,7 @@
   for (let count = 0; count < MAX_CLAIMS; count++) {
     const claim = createClaim(context, request, key);
     context.outcomes.open(claim.attempt, Date.now());
-    const verdict = await claim.ask(replaces);
+    const verdict = await claim.acquire(replaces);
     if (verdict.type === "claimed") {
       return await runClaimed(context, request, claim, response, transform);
     }
@@ -165,7 +165,7 @@
 }
 
 function assertKeyNotExpired(context: EntryContext, key: string): void {
-  const createdAt = readKeyTime(key);
+  const createdAt = parseKeyTimestamp(key);
   if (
     createdAt !== undefined &&
     Date.now() - createdAt > context.settings.keys.rememberMs
@@ -194,7 +194,7 @@
 ): KeyClaim {
   const options = {
     ownId: context.settings.id,
-    directory: context.directory,
+    connectionPool: context.connectionPool,
     getView: context.getView,
     voteTimeoutMs: context.settings.keys.voteTimeoutMs,
   };
@@ -220,7 +220,7 @@
   const waitMs = Math.max(1, request.deadlineAt - readClock());
   const build = (exchange: number) =>
     ({ type: "outcome", exchange, attempt: record.attempt, waitMs }) as const;
-  const frame = await context.directory.ask(
+  const frame = await context.connectionPool.request(
     record.holder,
     build,
     "outcome_is",
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -2,7 +2,7 @@
 import { Actor, type ActorSystem } from "../actors/actor.ts";
 import type { PauseGuard } from "../clock/pause_guard.ts";
 import type { Logger } from "../logging/logger.ts";
-import type { FleetSecret } from "../peer/fleet_secret.ts";
+import type { PeerAuthenticator } from "../peer/peer_authenticator.ts";
 import type { HostList } from "../configuration_service/host_schema.ts";
 import { Random } from "../random/random.ts";
 import type { Settings } from "../settings/settings_schema.ts";
@@ -20,7 +20,7 @@
 export interface MembershipOptions {
   settings: Settings;
   system: ActorSystem;
-  secret: FleetSecret;
+  authenticator: PeerAuthenticator;
   guard: PauseGuard;
   logger: Logger;
   /** Returns digest and revision of this router's configuration. */
@@ -108,7 +108,7 @@
     const { host, port } = options.settings.peer;
     membership.socket = await ProbeSocket.create(
       { address: host, port },
-      options.secret,
+      options.authenticator,
       (message, from) => membership.actor.tell("datagram", { message, from }),
     );
     return membership;
--- a/src/membership/probe_socket.ts
+++ b/src/membership/probe_socket.ts
@@ -1,6 +1,6 @@
 import { createSocket, type Socket } from "node:dgram";
 import { Packr } from "msgpackr";
-import type { FleetSecret } from "../peer/fleet_secret.ts";
+import type { PeerAuthenticator } from "../peer/peer_authenticator.ts";
 import { type ProbeMessage, probeMessageSchema } from "./probe_message.ts";
 
 /** Address that a datagram comes from or is sent to. */
@@ -20,20 +20,20 @@
 
   private constructor(
     private readonly socket: Socket,
-    private readonly secret: FleetSecret,
+    private readonly authenticator: PeerAuthenticator,
   ) {}
 
   /** Binds a socket.
    * @param bindAddress Address to bind.
-   * @param secret Secret that signs and verifies each datagram.
+   * @param authenticator Secret that signs and verifies each datagram.
    * @param onMessage Called with each valid message and its sender. */
   static async create(
     bindAddress: DatagramAddress,
-    secret: FleetSecret,
+    authenticator: PeerAuthenticator,
     onMessage: (message: ProbeMessage, from: DatagramAddress) => void,
   ): Promise<ProbeSocket> {
     const socket = createSocket("udp4");
-    const probeSocket = new ProbeSocket(socket, secret);
+    const probeSocket = new ProbeSocket(socket, authenticator);
     socket.on("message", (datagram, from) => {
       const message = probeSocket.decode(datagram);
       if (message) onMessage(message, from);
@@ -53,7 +53,7 @@
    * @param message The message.
    * @param to Address of the receiver. */
   send(message: ProbeMessage, to: DatagramAddress): void {
-    const datagram = this.secret.seal(packr.pack(message));
+    const datagram = this.authenticator.sign(packr.pack(message));
     this.bytesSent += datagram.length;
     this.messagesSent += 1;
     this.socket.send(datagram, to.port, to.address, () => undefined);
@@ -65,7 +65,7 @@
   }
 
   private decode(datagram: Buffer): ProbeMessage | undefined {
-    const content = this.secret.open(datagram);
+    const content = this.authenticator.verify(datagram);
     if (!content) return undefined;
     try {
       return probeMessageSchema.parse(packr.unpack(content));
--- a/src/peer/fleet_secret.ts
+++ b/src/peer/peer_authenticator.ts
@@ -4,24 +4,24 @@
 const TAG_BYTES = 12;
 
 /** Authenticates messages and connections between routers by HMAC with a secret that all of them share. */
-export class FleetSecret {
+export class PeerAuthenticator {
   private constructor(private readonly secret: string) {}
 
   /** Creates an authenticator.
    * @param secret The shared secret. */
-  static create(secret: string): FleetSecret {
-    return new FleetSecret(secret);
+  static create(secret: string): PeerAuthenticator {
+    return new PeerAuthenticator(secret);
   }
 
   /** Returns the content with its authentication tag in front.
    * @param content The bytes to sign. */
-  seal(content: Buffer): Buffer {
+  sign(content: Buffer): Buffer {
     return Buffer.concat([this.computeTag(content), content]);
   }
 
   /** Returns the content after a valid tag; undefined if the tag is invalid or the content is empty.
    * @param signed A tag followed by content. */
-  open(signed: Buffer): Buffer | undefined {
+  verify(signed: Buffer): Buffer | undefined {
     if (signed.length <= TAG_BYTES) return undefined;
     const content = signed.subarray(TAG_BYTES);
     return timingSafeEqual(
--- a/src/peer/peer_client.ts
+++ b/src/peer/peer_client.ts
@@ -1,5 +1,5 @@
 import { WebSocket } from "ws";
-import type { FleetSecret } from "./fleet_secret.ts";
+import type { PeerAuthenticator } from "./peer_authenticator.ts";
 import type { FramePort } from "./frame_port.ts";
 import type { Frame } from "./frame_schema.ts";
 import { WebSocketFramePort } from "./web_socket_frame_port.ts";
@@ -39,7 +39,7 @@
     ownId: string,
     peerId: string,
     address: { address: string; port: number },
-    authenticator: FleetSecret,
+    authenticator: PeerAuthenticator,
     timeoutMs: number,
     onClosed: () => void,
   ): Promise<PeerClient> {
--- a/src/peer/peer_directory.ts
+++ b/src/peer/peer_connection_pool.ts
@@ -1,14 +1,14 @@
 import type { FleetView } from "../membership/fleet_view.ts";
-import type { FleetSecret } from "./fleet_secret.ts";
+import type { PeerAuthenticator } from "./peer_authenticator.ts";
 import type { FramePort } from "./frame_port.ts";
 import type { Frame, FrameOf } from "./frame_schema.ts";
 import { LoopbackFramePort } from "./loopback_frame_port.ts";
 import { PeerClient } from "./peer_client.ts";
 
 /** Dependencies of the connection pool. */
-export interface PeerDirectoryOptions {
+export interface PeerConnectionPoolOptions {
   ownId: string;
-  authenticator: FleetSecret;
+  authenticator: PeerAuthenticator;
   connectTimeoutMs: number;
   getView: () => FleetView;
   /** Accepts the server end of the loopback connection. */
@@ -21,15 +21,15 @@
 export type StreamStep = "more" | "all" | "wrong";
 
 /** Pool of one connection per router, each opened on first use and kept until it is closed. */
-export class PeerDirectory {
+export class PeerConnectionPool {
   private readonly clients = new Map<string, Promise<PeerClient>>();
   private isClosed = false;
 
-  private constructor(private readonly options: PeerDirectoryOptions) {}
+  private constructor(private readonly options: PeerConnectionPoolOptions) {}
 
   /** Creates a pool without connections. */
-  static create(options: PeerDirectoryOptions): PeerDirectory {
-    return new PeerDirectory(options);
+  static create(options: PeerConnectionPoolOptions): PeerConnectionPool {
+    return new PeerConnectionPool(options);
   }
 
   /** Returns the connection to a router; undefined if the router cannot be reached.
@@ -49,7 +49,7 @@
    * @param answerType Expected type of the answer frame.
    * @param timeoutMs Time limit for the answer.
    * @returns The answer; undefined if there was none in time or it has another type. */
-  async ask<T extends Frame["type"]>(
+  async request<T extends Frame["type"]>(
     routerId: string,
     buildFrame: (exchange: number) => Frame,
     answerType: T,
@@ -75,7 +75,7 @@
    * @param onFrame Handles each answer frame and returns the state of the answer after it.
    * @param timeoutMs Time limit for the whole answer.
    * @returns Whether the answer was complete in time. */
-  async gather(
+  async requestStream(
     routerId: string,
     buildFrame: (exchange: number) => Frame,
     onFrame: (frame: Frame) => StreamStep,
--- a/src/peer/peer_server.ts
+++ b/src/peer/peer_server.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server } from "node:http";
 import type { Duplex } from "node:stream";
 import { WebSocketServer } from "ws";
-import type { FleetSecret } from "./fleet_secret.ts";
+import type { PeerAuthenticator } from "./peer_authenticator.ts";
 import type { FramePort } from "./frame_port.ts";
 import { WebSocketFramePort } from "./web_socket_frame_port.ts";
 
@@ -22,7 +22,7 @@
    * @param onConnection Called for each accepted connection. */
   static async create(
     listenAddress: { host: string; port: number },
-    authenticator: FleetSecret,
+    authenticator: PeerAuthenticator,
     maxFrameBytes: number,
     onConnection: (port: FramePort) => void,
   ): Promise<PeerServer> {
--- a/src/router/host_list_puller.ts
+++ b/src/router/host_list_puller.ts
@@ -1,6 +1,6 @@
 import { readClock } from "../clock/clock.ts";
 import type { HostList } from "../configuration_service/host_schema.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 
 /** Delay between the first notice of a newer list and the pull from a peer; the platform usually delivers it sooner. */
 const PULL_DELAY_MS = 1_000;
@@ -12,7 +12,7 @@
   private isPulling = false;
 
   private constructor(
-    private readonly connectionPool: PeerDirectory,
+    private readonly connectionPool: PeerConnectionPool,
     private readonly getVersion: () => number,
     private readonly onList: (list: HostList) => void,
   ) {}
@@ -22,7 +22,7 @@
    * @param getVersion Returns the version of this router's host list.
    * @param onList Called with each newer list that was pulled. */
   static create(
-    connectionPool: PeerDirectory,
+    connectionPool: PeerConnectionPool,
     getVersion: () => number,
     onList: (list: HostList) => void,
   ): HostListPuller {
@@ -44,7 +44,7 @@
     this.isPulling = true;
     const buildFrame = (exchange: number) =>
       ({ type: "pull_hosts", exchange }) as const;
-    const answer = await this.connectionPool.ask(
+    const answer = await this.connectionPool.request(
       peerId,
       buildFrame,
       "hosts",
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -19,8 +19,8 @@
 import { Metrics } from "../metrics/metrics.ts";
 import { LoadTable } from "../owner/load_table.ts";
 import { Owner } from "../owner/owner.ts";
-import { FleetSecret } from "../peer/fleet_secret.ts";
-import { PeerDirectory } from "../peer/peer_directory.ts";
+import { PeerAuthenticator } from "../peer/peer_authenticator.ts";
+import { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import { PeerServer } from "../peer/peer_server.ts";
 import { PlacementTable } from "../placement/placement_table.ts";
 import type { HostList } from "../configuration_service/host_schema.ts";
@@ -51,11 +51,11 @@
   private readonly audit: AuditTrail;
   private readonly system: ActorSystem = startActorSystem();
   private readonly pauseGuard: PauseGuard;
-  private readonly authenticator: FleetSecret;
+  private readonly authenticator: PeerAuthenticator;
   private readonly loads = LoadTable.create();
   /** @internal */
   readonly outcomes: OutcomeStore;
-  private readonly connectionPool: PeerDirectory;
+  private readonly connectionPool: PeerConnectionPool;
   /** @internal */
   readonly configuration: ConfigurationKeeper;
   /** @internal */
@@ -78,7 +78,7 @@
     this.logger = createLogger(settings.id, settings.logLevel);
     this.metrics = Metrics.create(settings.metrics, settings.id);
     this.audit = AuditTrail.create(settings.audit.capacity, this.logger);
-    this.authenticator = FleetSecret.create(settings.fleetSecret);
+    this.authenticator = PeerAuthenticator.create(settings.fleetSecret);
     this.outcomes = OutcomeStore.create(settings.keys.rememberMs, MAX_OUTCOMES);
     this.view = FleetView.create(settings.id, 0, [], []);
     this.placement = PlacementTable.create(this.view, settings.region);
@@ -87,7 +87,7 @@
       (gapMs) => this.handlePause(gapMs),
     );
     const commonOptions = this.getCommonOptions();
-    this.connectionPool = PeerDirectory.create({
+    this.connectionPool = PeerConnectionPool.create({
       ...commonOptions,
       ownId: settings.id,
       authenticator: this.authenticator,
@@ -96,7 +96,7 @@
     });
     this.configuration = ConfigurationKeeper.create({
       ...commonOptions,
-      directory: this.connectionPool,
+      connectionPool: this.connectionPool,
     });
     this.witness = Witness.create({
       ...commonOptions,
@@ -118,7 +118,7 @@
     });
     this.dispatcher = Dispatcher.create({
       ...commonOptions,
-      directory: this.connectionPool,
+      connectionPool: this.connectionPool,
       crashGuard: this.crashes.guard,
     });
   }
@@ -209,7 +209,7 @@
     );
     this.membership = await Membership.create({
       ...this.getCommonOptions(),
-      secret: this.authenticator,
+      authenticator: this.authenticator,
       getConfiguration: () => this.getConfigurationDigest(),
       getLoads: () => this.owner.getLoads(),
       onPeerConfiguration: (id, digest, revision) =>
@@ -250,7 +250,7 @@
       metrics,
       audit,
       configuration,
-      directory: connectionPool,
+      connectionPool: connectionPool,
       dispatcher,
       outcomes,
       getView: () => this.view,
--- a/src/router/router_crash_tracker.ts
+++ b/src/router/router_crash_tracker.ts
@@ -7,13 +7,13 @@
 import type { Logger } from "../logging/logger.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { Metrics } from "../metrics/metrics.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 
 /** Dependencies of a `RouterCrashTracker`. */
 export interface RouterCrashTrackerOptions {
   logger: Logger;
   metrics: Metrics;
-  connectionPool: PeerDirectory;
+  connectionPool: PeerConnectionPool;
   getView: () => FleetView;
 }
 
--- a/src/witness/key_claim.ts
+++ b/src/witness/key_claim.ts
@@ -2,10 +2,10 @@
 import { v7 as createUuid } from "uuid";
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { FrameOf } from "../peer/frame_schema.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import { Random } from "../random/random.ts";
 import type { KeyRecord } from "./key_record.ts";
-import { readKeyTime } from "./key_time.ts";
+import { parseKeyTimestamp } from "./key_timestamp.ts";
 import { countVotes, type VoteResult } from "./vote_count.ts";
 import { getWitnesses } from "./witness_set.ts";
 
@@ -18,7 +18,7 @@
 /** Dependencies of a `KeyClaim`. */
 export interface KeyClaimOptions {
   ownId: string;
-  directory: PeerDirectory;
+  connectionPool: PeerConnectionPool;
   getView: () => FleetView;
   voteTimeoutMs: number;
 }
@@ -50,7 +50,7 @@
   /** Runs vote rounds until the vote is not split or `MAX_VOTE_ROUNDS` is reached. After each round that this attempt
    * did not win, it is released at all witnesses.
    * @param replaces Id of an attempt that its holder gave up and this one replaces, or an empty string. */
-  async ask(replaces = ""): Promise<VoteResult> {
+  async acquire(replaces = ""): Promise<VoteResult> {
     let result: VoteResult = { type: "unconfirmed" };
     for (let round = 0; round < MAX_VOTE_ROUNDS; round++) {
       result = await this.runVoteRound(replaces);
@@ -79,7 +79,7 @@
     );
     const outdated = this.getWitnesses().filter((id) => !upToDate.has(id));
     await Promise.all(outdated.map(async (id) => {
-      const client = await this.options.directory.getClient(id);
+      const client = await this.options.connectionPool.getClient(id);
       client?.send({
         type: "record",
         exchange: 0,
@@ -95,7 +95,7 @@
   async release(): Promise<void> {
     await Promise.all(
       this.getWitnesses().map(async (id) => {
-        const client = await this.options.directory.getClient(id);
+        const client = await this.options.connectionPool.getClient(id);
         client?.send({
           type: "release",
           exchange: 0,
@@ -119,7 +119,7 @@
       this.attempt,
       witnesses.length,
       votes,
-      readKeyTime(this.key) !== undefined,
+      parseKeyTimestamp(this.key) !== undefined,
     );
     if (result.type !== "claimed") await this.release();
     return result;
@@ -143,7 +143,8 @@
     id: string,
     replaces: string,
   ): Promise<FrameOf<"voted"> | undefined> {
-    const { directory, ownId, voteTimeoutMs } = this.options;
+    const { connectionPool: connectionPool, ownId, voteTimeoutMs } =
+      this.options;
     const { key, fingerprint, attempt } = this;
     const buildFrame = (exchange: number) =>
       ({
@@ -155,6 +156,6 @@
         holder: ownId,
         replaces,
       }) as const;
-    return await directory.ask(id, buildFrame, "voted", voteTimeoutMs);
+    return await connectionPool.request(id, buildFrame, "voted", voteTimeoutMs);
   }
 }
--- a/src/witness/witness.ts
+++ b/src/witness/witness.ts
@@ -4,7 +4,7 @@
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { FramePort } from "../peer/frame_port.ts";
 import type { FrameOf } from "../peer/frame_schema.ts";
-import type { PeerDirectory } from "../peer/peer_directory.ts";
+import type { PeerConnectionPool } from "../peer/peer_connection_pool.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 import { KeyRecordStore } from "./key_record_store.ts";
 import { WitnessHistory } from "./witness_history.ts";
@@ -19,7 +19,7 @@
   settings: Settings;
   system: ActorSystem;
   logger: Logger;
-  connectionPool: PeerDirectory;
+  connectionPool: PeerConnectionPool;
 }
 
 type WitnessMessages = {
@@ -172,7 +172,7 @@
   /** Pulls the records of one router; returns whether it sent all of them. */
   private async pullRecordsFrom(routerId: string): Promise<boolean> {
     const witness = this.options.settings.id;
-    return await this.options.connectionPool.gather(
+    return await this.options.connectionPool.requestStream(
       routerId,
       (exchange) => ({ type: "pull_records", exchange, witness }),
       (frame) => {
--- a/src/witness/witness_history.ts
+++ b/src/witness/witness_history.ts
@@ -1,4 +1,4 @@
-import { readKeyTime } from "./key_time.ts";
+import { parseKeyTimestamp } from "./key_timestamp.ts";
 import { getWitnesses } from "./witness_set.ts";
 
 /** Number of router lists kept; older lists predate every key that can still be in use. */
@@ -71,7 +71,7 @@
   ): boolean {
     const since = this.getSince(key);
     if (since === undefined) return false;
-    const createdAt = readKeyTime(key);
+    const createdAt = parseKeyTimestamp(key);
     const wasWitnessBefore = createdAt !== undefined &&
       createdAt <= now + clockSkewMs && since + clockSkewMs < createdAt;
     return since <= this.synchronizedAt || wasWitnessBefore ||
