--- a/src/cli/check_command.ts
+++ b/src/cli/check_command.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import process from "node:process";
 import { command, option, optional, positional, string } from "cmd-ts";
-import { acceptDocument } from "../configuration/accept_document.ts";
+import { validateDocument } from "../configuration/validate_document.ts";
 import { loadSettings } from "../settings/load_settings.ts";
 import { EXIT_CODE } from "./exit_code.ts";
 
@@ -45,6 +45,6 @@
   } catch (error) {
     return [`document: ${(error as Error).message}`];
   }
-  const decision = acceptDocument({ key, revision: 1, value });
+  const decision = validateDocument({ key, revision: 1, value });
   return decision.isErr() ? decision.error : [];
 }
--- a/src/configuration/configuration_keeper.ts
+++ b/src/configuration/configuration_replica.ts
@@ -15,7 +15,7 @@
 const MIN_PULL_INTERVAL_MS = 300;
 
 /** Dependencies of the configuration replica. */
-export interface ConfigurationKeeperOptions {
+export interface ConfigurationReplicaOptions {
   system: ActorSystem;
   logger: Logger;
   audit: AuditTrail;
@@ -34,13 +34,13 @@
 /** This router's replica of the configuration.
  * An actor that owns the accepted documents and merges values from the platform and from peers. Replicas converge by
  * anti-entropy: each compares its digest with those of its peers and pulls what it lacks. */
-export class ConfigurationKeeper {
+export class ConfigurationReplica {
   private readonly store = DocumentStore.create();
   private readonly actor: Actor<ReplicaMessages>;
   private readonly lastPullAt = new Map<string, number>();
   private snapshot = CustomerDirectory.create(this.store);
 
-  private constructor(private readonly options: ConfigurationKeeperOptions) {
+  private constructor(private readonly options: ConfigurationReplicaOptions) {
     this.actor = Actor.create<ReplicaMessages>(
       options.system,
       "configuration",
@@ -55,8 +55,8 @@
 
   /** Creates a replica without documents.
    * @param options Its dependencies. */
-  static create(options: ConfigurationKeeperOptions): ConfigurationKeeper {
-    return new ConfigurationKeeper(options);
+  static create(options: ConfigurationReplicaOptions): ConfigurationReplica {
+    return new ConfigurationReplica(options);
   }
 
   /** The customers defined by the current documents. */
@@ -87,7 +87,7 @@
    * @param peerId The peer.
    * @param digest Digest of the peer's documents.
    * @param revision Highest revision that the peer has accepted. */
-  noticePeer(peerId: string, digest: number, revision: number): void {
+  reconcileWithPeer(peerId: string, digest: number, revision: number): void {
     if (digest !== this.store.digest) {
       this.actor.tell("peer", { peerId, digest, revision });
     }
@@ -102,7 +102,7 @@
   /** Sends the values that a peer requests, in batches.
    * @param port Connection to the peer.
    * @param frame The peer's request. */
-  answerPull(port: FramePort, frame: FrameOf<"pull">): void {
+  handlePull(port: FramePort, frame: FrameOf<"pull">): void {
     const values = this.store.getValuesAfter(frame.after);
     let start = 0;
     do {
--- a/src/configuration/document_store.ts
+++ b/src/configuration/document_store.ts
@@ -1,5 +1,5 @@
 import { hashText } from "../hashing/hasher.ts";
-import { acceptDocument } from "./accept_document.ts";
+import { validateDocument } from "./validate_document.ts";
 import type {
   ConfigurationDocument,
   PublishedValue,
@@ -48,7 +48,7 @@
     if (this.refused.get(published.key) === published.revision) {
       return { type: "duplicate" };
     }
-    const decision = acceptDocument(published);
+    const decision = validateDocument(published);
     if (decision.isErr()) {
       this.refused.set(published.key, published.revision);
       return { type: "refused", reasons: decision.error };
--- a/src/configuration/accept_document.ts
+++ b/src/configuration/validate_document.ts
@@ -21,7 +21,7 @@
  * The result depends only on the key and the value, so all routers decide alike, whatever they received before.
  * @param published The value with its key.
  * @returns The document, or all reasons for refusing it. */
-export function acceptDocument(
+export function validateDocument(
   published: PublishedValue,
 ): Result<ConfigurationDocument, string[]> {
   const [partner, folder, name, ...rest] = published.key.split("/");
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -1,6 +1,6 @@
 import type { Frame, FrameOf } from "../peer/frame_schema.ts";
 import type { PeerClient } from "../peer/peer_client.ts";
-import type { ResponseSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./response_sink.ts";
 import type { SendGrant } from "./send_grant.ts";
 
 /** Time that an owner has to confirm the outcome of a request after its deadline. */
--- a/src/entry/buffered_sink.ts
+++ b/src/entry/buffered_sink.ts
@@ -1,5 +1,5 @@
 import type { Failure } from "../errors/failure.ts";
-import type { ResponseSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./response_sink.ts";
 import type { StoredResponse } from "./outcome_store.ts";
 
 /** Buffers a response and passes it on only when it is complete. */
--- a/src/entry/dispatch_progress.ts
+++ b/src/entry/dispatch_progress.ts
@@ -2,7 +2,7 @@
 import type { ErrorKind } from "../errors/error_kind.ts";
 import { Failure } from "../errors/failure.ts";
 import { fingerprintRequest } from "../hashing/request_fingerprint.ts";
-import type { ResponseSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./response_sink.ts";
 import type { AttemptOutcome } from "./attempt.ts";
 import { getRequestIdentity, type RoutedRequest } from "./routed_request.ts";
 import { SendGrant } from "./send_grant.ts";
@@ -17,7 +17,7 @@
   | { type: "abandoned"; mayHaveRun: boolean };
 
 /** State of a request while it is dispatched. */
-export interface Progress {
+export interface DispatchProgress {
   request: RoutedRequest;
   /** Equal for identical requests of the same customer. */
   fingerprint: number;
@@ -46,7 +46,7 @@
  * @param mayQueue Whether the request may be queued at the upstream.
  * @param remainingMs Time until the deadline. */
 export function buildOffer(
-  progress: Progress,
+  progress: DispatchProgress,
   upstreamId: string,
   mayQueue: boolean,
   remainingMs: number,
@@ -80,8 +80,8 @@
  * @param progress State of the request.
  * @param upstreamId The upstream.
  * @param ownerId The owner that the redirect names. */
-export function recordNamedOwner(
-  progress: Pick<Progress, "silent" | "retried" | "namedOwners">,
+export function recordRedirect(
+  progress: Pick<DispatchProgress, "silent" | "retried" | "namedOwners">,
   upstreamId: string,
   ownerId: string,
 ): void {
@@ -97,7 +97,7 @@
 }
 
 /** Whether an upstream may have started to run the request. */
-export function mayHaveRun(progress: Progress): boolean {
+export function mayHaveRun(progress: DispatchProgress): boolean {
   return progress.request.repeatable
     ? progress.hasInconclusiveAttempt
     : progress.grant.isAcquired;
@@ -110,7 +110,7 @@
  * @param detail Detail of the error.
  * @param retryAfterMs Time after which the caller may retry, in milliseconds, if upstreams specified one. */
 export function refuse(
-  progress: Progress,
+  progress: DispatchProgress,
   kind: ErrorKind,
   detail: string,
   retryAfterMs?: number,
@@ -127,7 +127,10 @@
   };
 }
 
-function toInconclusiveKind(progress: Progress, kind: ErrorKind): ErrorKind {
+function toInconclusiveKind(
+  progress: DispatchProgress,
+  kind: ErrorKind,
+): ErrorKind {
   if (!progress.request.repeatable) return "outcome_unknown";
   return kind === "deadline_exceeded" ? "timed_out" : "upstream_failed";
 }
@@ -140,7 +143,7 @@
   request: RoutedRequest,
   sink: ResponseSink,
   disconnectSignal: AbortSignal,
-): Progress {
+): DispatchProgress {
   return {
     request,
     fingerprint: fingerprintRequest(getRequestIdentity(request)),
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -8,17 +8,17 @@
 import { POLICIES } from "../placement/policies.ts";
 import { Random } from "../random/random.ts";
 import type { Settings } from "../settings/settings_schema.ts";
-import type { ResponseSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./response_sink.ts";
 import { Attempt, type AttemptOutcome } from "./attempt.ts";
 import { recordAttempt } from "./record_attempt.ts";
 import {
   buildOffer,
   createProgress,
+  type DispatchProgress,
   type DispatchResult,
   isInconclusive,
   mayHaveRun,
-  type Progress,
-  recordNamedOwner,
+  recordRedirect,
   refuse,
 } from "./dispatch_progress.ts";
 import { RetryBudget } from "./retry_budget.ts";
@@ -101,12 +101,16 @@
     });
   }
 
-  private refuseIfHeld({ fingerprint }: Progress): DispatchResult | undefined {
+  private refuseIfHeld(
+    { fingerprint }: DispatchProgress,
+  ): DispatchResult | undefined {
     const failure = this.options.crashGuard.findRefusal(fingerprint);
     return failure && { type: "refused", failure, mayHaveRun: false };
   }
 
-  private async tryUpstreams(progress: Progress): Promise<DispatchResult> {
+  private async tryUpstreams(
+    progress: DispatchProgress,
+  ): Promise<DispatchResult> {
     const order = this.orderUpstreams(progress.request);
     if (order.length === 0) {
       return refuse(progress, "no_upstream", "no live upstream serves this");
@@ -148,7 +152,7 @@
   }
 
   private async tryUpstream(
-    progress: Progress,
+    progress: DispatchProgress,
     upstreamId: string,
     mayQueue: boolean,
     declines: Declines,
@@ -171,7 +175,7 @@
       });
       if (outcome.type === "declined") declines.set(upstreamId, outcome);
       if (outcome.type === "declined" && outcome.owner !== "") {
-        recordNamedOwner(progress, upstreamId, outcome.owner);
+        recordRedirect(progress, upstreamId, outcome.owner);
       }
       if (outcome.type === "unreachable" && outcome.wasAccepted) {
         progress.possibleRunners.add(upstreamId);
@@ -187,7 +191,7 @@
    * Owners that did not respond during this request are skipped. */
   private chooseOwner(
     upstreamId: string,
-    progress: Progress,
+    progress: DispatchProgress,
   ): string | undefined {
     const host = this.options.getView().getUpstream(upstreamId);
     if (!host) return undefined;
@@ -200,7 +204,7 @@
   }
 
   private async attempt(
-    progress: Progress,
+    progress: DispatchProgress,
     upstreamId: string,
     ownerId: string,
     mayQueue: boolean,
@@ -230,7 +234,7 @@
   }
 
   private decideNextStep(
-    progress: Progress,
+    progress: DispatchProgress,
     ownerId: string,
     outcome: AttemptOutcome,
   ): NextStep {
@@ -268,7 +272,7 @@
   }
 
   private decideAfterDecline(
-    progress: Progress,
+    progress: DispatchProgress,
     ownerId: string,
     reason: string,
   ): NextStep {
@@ -286,7 +290,7 @@
   }
 
   private decideAfterFailure(
-    progress: Progress,
+    progress: DispatchProgress,
     detail: string,
     next: NextStep,
   ): NextStep {
@@ -308,7 +312,7 @@
   }
 
   private refuseAfterLastUpstream(
-    progress: Progress,
+    progress: DispatchProgress,
     declines: Declines,
   ): DispatchResult {
     if (progress.events > 0) {
--- a/src/entry/entry_context.ts
+++ b/src/entry/entry_context.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { AuditTrail } from "../audit/audit_trail.ts";
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ConfigurationReplica } from "../configuration/configuration_replica.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
@@ -20,7 +20,7 @@
   logger: Logger;
   metrics: Metrics;
   audit: AuditTrail;
-  configuration: ConfigurationKeeper;
+  configuration: ConfigurationReplica;
   connectionPool: PeerConnectionPool;
   dispatcher: Dispatcher;
   outcomes: OutcomeStore;
--- a/src/entry/outcome_store.ts
+++ b/src/entry/outcome_store.ts
@@ -7,7 +7,7 @@
 
 /** Outcome of an attempt; `released` means that it was not run and never will be. */
 export type Outcome =
-  | { state: "done"; answer: StoredResponse }
+  | { state: "done"; response: StoredResponse }
   | { state: "released" }
   | { state: "unknown" };
 
--- a/src/entry/run_request.ts
+++ b/src/entry/run_request.ts
@@ -86,7 +86,7 @@
     }
     const outcome = await requestOutcome(context, request, verdict.record);
     if (outcome instanceof Failure) return outcome;
-    if (outcome.state === "done") return markReplayed(outcome.answer);
+    if (outcome.state === "done") return markReplayed(outcome.response);
     if (outcome.state === "unknown") {
       return Failure.create(
         "outcome_unknown",
@@ -146,7 +146,7 @@
   if (dispatchResult.type === "done") {
     return {
       result,
-      outcome: { state: "done", answer: result as unknown as StoredResponse },
+      outcome: { state: "done", response: result as unknown as StoredResponse },
     };
   }
   return {
@@ -231,7 +231,7 @@
   const { status, headers, body } = frame;
   return {
     state: "done",
-    answer: { status, headers, body: Buffer.from(body) },
+    response: { status, headers, body: Buffer.from(body) },
   };
 }
 
--- a/src/entry/stream_sink.ts
+++ b/src/entry/stream_sink.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import { Failure } from "../errors/failure.ts";
-import type { ResponseSink } from "./answer_sink.ts";
+import type { ResponseSink } from "./response_sink.ts";
 
 /** Streams a response to the caller, respecting back-pressure. */
 export class StreamSink implements ResponseSink {
--- a/src/router/frame_handlers.ts
+++ b/src/router/frame_handlers.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ConfigurationReplica } from "../configuration/configuration_replica.ts";
 import type { OutcomeStore } from "../entry/outcome_store.ts";
 import type { Owner } from "../owner/owner.ts";
 import type { FramePort } from "../peer/frame_port.ts";
@@ -11,7 +11,7 @@
 export interface RouterComponents {
   owner: Owner;
   witness: Witness;
-  configuration: ConfigurationKeeper;
+  configuration: ConfigurationReplica;
   outcomes: OutcomeStore;
   crashes: RouterCrashTracker;
   /** Returns the host list in use. */
@@ -43,7 +43,7 @@
         exchange: frame.exchange,
         list: components.getHostList(),
       }),
-    pull: (port, frame) => configuration.answerPull(port, frame),
+    pull: (port, frame) => configuration.handlePull(port, frame),
   };
 }
 
@@ -71,7 +71,7 @@
 ): Promise<void> {
   const outcome = await outcomes.get(frame.attempt, frame.waitMs);
   const answer = outcome.state === "done"
-    ? outcome.answer
+    ? outcome.response
     : { status: 0, headers: {}, body: Buffer.alloc(0) };
   port.send({
     type: "outcome_is",
--- a/src/router/platform_watcher.ts
+++ b/src/router/platform_watcher.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import type { ConfigurationReplica } from "../configuration/configuration_replica.ts";
 import { rankByRendezvous } from "../hashing/rendezvous.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { Membership } from "../membership/membership.ts";
@@ -14,7 +14,7 @@
   settings: Settings;
   logger: Logger;
   membership: Membership;
-  configuration: ConfigurationKeeper;
+  configuration: ConfigurationReplica;
 }
 
 /** Long-polls the platform for configuration documents and the host list. In each hall only some routers do so at a
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -7,7 +7,7 @@
 } from "../actors/actor.ts";
 import { AuditTrail } from "../audit/audit_trail.ts";
 import { PauseGuard } from "../clock/pause_guard.ts";
-import { ConfigurationKeeper } from "../configuration/configuration_keeper.ts";
+import { ConfigurationReplica } from "../configuration/configuration_replica.ts";
 import { CallerServer } from "../entry/caller_server.ts";
 import { Dispatcher } from "../entry/dispatcher.ts";
 import type { RouterPhase } from "../entry/entry_context.ts";
@@ -57,7 +57,7 @@
   readonly outcomes: OutcomeStore;
   private readonly connectionPool: PeerConnectionPool;
   /** @internal */
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ConfigurationReplica;
   /** @internal */
   readonly owner: Owner;
   /** @internal */
@@ -94,7 +94,7 @@
       connectTimeoutMs: settings.routing.acceptTimeoutMs,
       acceptLoopback: (port) => attachFrameHandlers(this, port),
     });
-    this.configuration = ConfigurationKeeper.create({
+    this.configuration = ConfigurationReplica.create({
       ...commonOptions,
       connectionPool: this.connectionPool,
     });
@@ -213,7 +213,7 @@
       getConfiguration: () => this.getConfigurationDigest(),
       getLoads: () => this.owner.getLoads(),
       onPeerConfiguration: (id, digest, revision) =>
-        this.configuration.noticePeer(id, digest, revision),
+        this.configuration.reconcileWithPeer(id, digest, revision),
       onPeerLoads: (id, loads) => this.owner.recordPeerLoads(id, loads),
       onNewerHostList: (id, version) =>
         this.hostListPuller.handleNewerVersion(id, version),
--- a/tests/owner/virtual_chats.ts
+++ b/tests/owner/virtual_chats.ts
@@ -1,7 +1,7 @@
 /** Simulates, in virtual time, chats that repeatedly send requests to one engine through entry routers. */
 import {
-  type Progress,
-  recordNamedOwner,
+  type DispatchProgress,
+  recordRedirect,
 } from "../../src/entry/dispatch_progress.ts";
 import type { FrameOf } from "../../src/peer/frame_schema.ts";
 import { buildOffer, createPort } from "./build_offer.ts";
@@ -17,7 +17,7 @@
 
 /** The state of one request of a chat at its entry router. */
 interface ChatRequest
-  extends Pick<Progress, "silent" | "retried" | "namedOwners"> {
+  extends Pick<DispatchProgress, "silent" | "retried" | "namedOwners"> {
   id: string;
   entry: VirtualRouter;
   /** Whether the engine may still run the request for a failed owner. */
@@ -144,7 +144,7 @@
     owner: VirtualRouter,
     { reason, owner: other }: FrameOf<"declined">,
   ): void {
-    if (other !== "") recordNamedOwner(progress, ENGINE_ID, other);
+    if (other !== "") recordRedirect(progress, ENGINE_ID, other);
     if (reason === "stale") progress.silent.add(owner.id);
     if (reason === "moved" || reason === "stale") this.offer(progress);
     else this.scheduleNext();
