--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -2,8 +2,8 @@
 import { Failure } from "../errors/failure.ts";
 import type { Route } from "../published/configuration_schema.ts";
 import {
+  type ApiKeyOwner,
   chooseService,
-  type KeyHolder,
   type RouteTable,
 } from "../published/route_table.ts";
 import { PrefixIndex } from "../upstreams/prefix_index.ts";
@@ -58,13 +58,13 @@
   routes: RouteTable,
   route: Route,
   options: AdmissionOptions,
-): Result<KeyHolder | undefined, Failure> {
-  if (route.isAnonymous || !routes.needsKeys) return Ok(undefined);
+): Result<ApiKeyOwner | undefined, Failure> {
+  if (route.isAnonymous || !routes.requiresKeys) return Ok(undefined);
   const { key } = options.headers;
   if (!options.acceptsKeys) {
     return Err(Failure.create("belief_too_old", "keys are not honoured now"));
   }
-  const holder = key === undefined ? undefined : routes.getHolder(key);
+  const holder = key === undefined ? undefined : routes.getApiKeyOwner(key);
   if (holder) return Ok(holder);
   return Err(
     Failure.create("unknown_key", key === undefined ? "no key" : "unknown"),
@@ -75,7 +75,7 @@
   options: AdmissionOptions,
   requestId: string,
   route: Route,
-  holder: KeyHolder | undefined,
+  holder: ApiKeyOwner | undefined,
 ): AdmittedCall {
   const { headers, method, path, receivedAt } = options;
   const sharedParts = findSharedParts(headers);
@@ -106,7 +106,7 @@
   return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
 
-function computeUrgency(route: Route, holder: KeyHolder | undefined): number {
+function computeUrgency(route: Route, holder: ApiKeyOwner | undefined): number {
   const customerUrgency = (holder?.priority ?? 0) *
     CLASSES_PER_CUSTOMER_PRIORITY;
   return Math.max(
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -7,7 +7,7 @@
 import type { PeerEntry } from "../peers/gossip_schema.ts";
 import type { KnownHost } from "../peers/known_host.ts";
 import type { PublicationFeed } from "../published/publication_feed.ts";
-import { PublicationKeeper } from "../published/publication_keeper.ts";
+import { PublicationReplica } from "../published/publication_replica.ts";
 import type { RouteTable } from "../published/route_table.ts";
 import type { EngineInventory } from "../upstreams/engine_inventory.ts";
 import type { DiscoveryProtocol } from "./discovery_protocol.ts";
@@ -42,7 +42,7 @@
   private readonly logger: Logger;
   private readonly metrics = GatewayMetrics.create();
   private readonly stop = GracefulStop.create();
-  private readonly published: PublicationKeeper;
+  private readonly published: PublicationReplica;
   private readonly chooser: UpstreamChooser;
   private readonly handler: CallHandler;
   private readonly guard: CrashGuard;
@@ -68,11 +68,11 @@
     this.logger = dependencies.logger;
     this.guard = this.createGuard();
     this.chooser = this.createChooser();
-    this.published = PublicationKeeper.create({
+    this.published = PublicationReplica.create({
       logger: this.logger,
       onConfiguration: (routes) => this.applyConfiguration(routes),
-      onEra: (era) => this.metrics.recordEra(era),
-      onUpstreams: (changes) => {
+      onNewEra: (era) => this.metrics.recordEra(era),
+      onUpstreamChanges: (changes) => {
         this.chooser.upstreams.apply(changes);
         this.peerNetwork?.announce();
       },
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -9,7 +9,7 @@
 import type { KnownHost } from "../peers/known_host.ts";
 import { PrefixDirectory } from "../peers/prefix_directory.ts";
 import type { PublicationStatus } from "../peers/publication_status.ts";
-import type { PublicationKeeper } from "../published/publication_keeper.ts";
+import type { PublicationReplica } from "../published/publication_replica.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { HostExchange } from "./host_exchange.ts";
@@ -23,7 +23,7 @@
   /** Returns the current settings; the gossip address, and the hall for the choice of gossip partners, are read
    * once. */
   getSettings: () => GatewaySettings;
-  published: PublicationKeeper;
+  published: PublicationReplica;
   chooser: UpstreamChooser;
   publicationExchange: PublicationExchange;
   metrics: GatewayMetrics;
@@ -208,7 +208,7 @@
     const { digest, revision, publicationAgeMs } = summary;
     if (publicationAgeMs < 0) return;
     if (digest === published.digest) {
-      published.takeConfirmation(digest, askedAt - publicationAgeMs);
+      published.confirmFreshness(digest, askedAt - publicationAgeMs);
       return;
     }
     const isFresher = publicationAgeMs < published.ageMs ||
--- a/src/gateway/publication_exchange.ts
+++ b/src/gateway/publication_exchange.ts
@@ -8,7 +8,7 @@
   packConfiguration,
   unpackConfiguration,
 } from "../published/pack_configuration.ts";
-import type { PublicationKeeper } from "../published/publication_keeper.ts";
+import type { PublicationReplica } from "../published/publication_replica.ts";
 import { upstreamSchema } from "../published/upstream_schema.ts";
 
 /** Path under which a host serves the publication that it knows to other hosts. */
@@ -45,7 +45,7 @@
   private packedConfiguration: { version: number; bytes: Buffer } | undefined;
 
   private constructor(
-    private readonly published: PublicationKeeper,
+    private readonly published: PublicationReplica,
     private readonly logger: Logger,
   ) {}
 
@@ -53,7 +53,7 @@
    * @param published The publication known here.
    * @param logger Logs failed fetches. */
   static create(
-    published: PublicationKeeper,
+    published: PublicationReplica,
     logger: Logger,
   ): PublicationExchange {
     return new PublicationExchange(published, logger);
@@ -129,7 +129,7 @@
       ...rest,
       configuration: configuration && unpackConfiguration(configuration),
     };
-    this.published.takeState(state, peerId, askedAt);
+    this.published.applyPeerState(state, peerId, askedAt);
     // If the digests still differ, more may be missing here than `completeUpTo` implies; the next fetch asks for the
     // full state.
     this.needsFullState = digest !== this.published.digest;
--- a/src/gateway/publication_watch.ts
+++ b/src/gateway/publication_watch.ts
@@ -4,7 +4,7 @@
 import type { KnownHost } from "../peers/known_host.ts";
 import { FeedWatcher } from "../published/feed_watcher.ts";
 import type { PublicationFeed } from "../published/publication_feed.ts";
-import type { PublicationKeeper } from "../published/publication_keeper.ts";
+import type { PublicationReplica } from "../published/publication_replica.ts";
 import { WatcherRanking } from "./watcher_ranking.ts";
 
 /** Maximum wait of one long poll; the publication appears up to this old while nothing changes. */
@@ -31,7 +31,7 @@
 export interface PublicationWatchOptions {
   logger: Logger;
   feed: PublicationFeed;
-  published: PublicationKeeper;
+  published: PublicationReplica;
   /** Returns the id of this host. */
   getHostId: () => string;
   /** Returns the other live hosts. */
@@ -55,14 +55,14 @@
     this.cachedRanking = this.buildRanking();
     this.watcher = FeedWatcher.create({
       feed,
-      keeper: published,
+      replica: published,
       logger,
       watchMs: WATCH_TIMEOUT_MS,
-      gatherMs: CHANGE_BATCHING_MS,
+      batchDelayMs: CHANGE_BATCHING_MS,
       getRetryMs: () =>
         this.ranking.isWatcher ? WATCHER_RETRY_MS : BACKUP_RETRY_MS,
       idleCheckMs: IDLE_CHECK_INTERVAL_MS,
-      isNeeded: () => this.shouldWatch(),
+      shouldWatch: () => this.shouldWatch(),
     });
   }
 
--- a/src/published/feed_watcher.ts
+++ b/src/published/feed_watcher.ts
@@ -4,23 +4,23 @@
 import { PollLoop, type PollTurn } from "../polling/poll_loop.ts";
 import { FeedError } from "./feed_error.ts";
 import type { PublicationFeed } from "./publication_feed.ts";
-import type { PublicationKeeper } from "./publication_keeper.ts";
+import type { PublicationReplica } from "./publication_replica.ts";
 
 /** Dependencies and timing of a feed watcher. */
 export interface FeedWatcherOptions {
   feed: PublicationFeed;
-  keeper: PublicationKeeper;
+  replica: PublicationReplica;
   logger: Logger;
   /** Maximum wait of one watch in milliseconds. It bounds the apparent age of data that does not change. */
   watchMs: number;
   /** Mean pause after a failure in milliseconds; the actual pause is drawn between 0.5 and 1.5 times this value. */
   getRetryMs: () => number;
   /** Pause after a watch that returned changes, in milliseconds, so that changes which follow arrive in one batch. */
-  gatherMs: number;
+  batchDelayMs: number;
   /** Mean interval in milliseconds at which an idle watcher checks whether this process should watch. */
   idleCheckMs: number;
   /** Whether this process should watch the feed now instead of receiving the changes from its peers. */
-  isNeeded: () => boolean;
+  shouldWatch: () => boolean;
 }
 
 /** Reads a snapshot and then long-polls the feed for changes while this process should watch. */
@@ -33,7 +33,7 @@
   private constructor(private readonly options: FeedWatcherOptions) {
     this.loop = PollLoop.create({
       step: () => this.poll(),
-      isActive: options.isNeeded,
+      isActive: options.shouldWatch,
       getPauseMs: (turn) =>
         turn === "idle" ? options.idleCheckMs : options.getRetryMs(),
       onTurn: (turn, error) => this.handleTurn(turn, error),
@@ -61,12 +61,12 @@
     const requestedAt = readClock();
     if (this.revision === undefined) {
       const snapshot = await this.options.feed.readSnapshot();
-      this.options.keeper.applySnapshot(snapshot, requestedAt);
+      this.options.replica.applySnapshot(snapshot, requestedAt);
       this.logProblems(snapshot.problems);
       this.revision = snapshot.revision;
       return;
     }
-    const { watchMs, feed, keeper } = this.options;
+    const { watchMs, feed, replica: keeper } = this.options;
     const changes = await feed.watch(this.revision, watchMs);
     const isEmpty = changes.upstreams.length === 0 &&
       changes.configuration === undefined;
@@ -75,7 +75,7 @@
     keeper.applyChanges(changes, isEmpty ? heldUntil : requestedAt);
     this.logProblems(changes.problems);
     this.revision = changes.revision;
-    if (!isEmpty) await delay(this.options.gatherMs);
+    if (!isEmpty) await delay(this.options.batchDelayMs);
   }
 
   private logProblems(problems: readonly string[]): void {
@@ -106,7 +106,7 @@
     if (this.failedSince !== undefined) return;
     this.failedSince = readClock();
     this.options.logger.warn(
-      { reason: String(error), ageMs: Math.round(this.options.keeper.ageMs) },
+      { reason: String(error), ageMs: Math.round(this.options.replica.ageMs) },
       "platform_lost",
     );
   }
--- a/src/published/freshness.ts
+++ b/src/published/freshness_tracker.ts
@@ -1,12 +1,12 @@
 /** Tracks the time up to which this process is certain to know everything that was published. */
-export class Freshness {
+export class FreshnessTracker {
   private completeUntil = -Infinity;
 
   private constructor() {}
 
   /** Creates a tracker for a process that knows nothing yet; its age is infinite. */
-  static create(): Freshness {
-    return new Freshness();
+  static create(): FreshnessTracker {
+    return new FreshnessTracker();
   }
 
   /** Records that everything published before the given time is known. An earlier time than the recorded one has no
--- a/src/published/publication.ts
+++ b/src/published/publication.ts
@@ -2,7 +2,7 @@
 import type { PublishedConfiguration } from "./configuration_schema.ts";
 import { createCorrectionPosition, getEra } from "./position.ts";
 import type { UpstreamChange } from "./publication_feed.ts";
-import { correctRestoredUpstream } from "./restored_upstream.ts";
+import { correctRestoredUpstream } from "./correct_restored_upstream.ts";
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
 /** Time for which the record of a removed upstream (tombstone) is kept, so that no peer can re-add the upstream. */
--- a/src/published/publication_keeper.ts
+++ b/src/published/publication_replica.ts
@@ -1,7 +1,7 @@
 import { readClock } from "../clock/clock.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { PublishedConfiguration } from "./configuration_schema.ts";
-import { Freshness } from "./freshness.ts";
+import { FreshnessTracker } from "./freshness_tracker.ts";
 import { getEra, getRevision } from "./position.ts";
 import { type MergeResult, Publication } from "./publication.ts";
 import type {
@@ -21,14 +21,14 @@
 const LAPSE_GRACE_MS = 2_200;
 
 /** Dependencies and listeners of the replica. */
-export interface PublicationKeeperOptions {
+export interface PublicationReplicaOptions {
   logger: Logger;
   /** Called with the routes of each newer configuration. */
   onConfiguration: (table: RouteTable) => void;
   /** Called with each era of the platform that is new here. */
-  onEra: (era: number) => void;
+  onNewEra: (era: number) => void;
   /** Called with the changes of upstreams that were not known before. */
-  onUpstreams: (changes: readonly UpstreamChange[]) => void;
+  onUpstreamChanges: (changes: readonly UpstreamChange[]) => void;
 }
 
 /** State that hosts send to each other: everything they know, or what changed after a revision. */
@@ -43,18 +43,18 @@
 
 /** This host's replica of the published data. It merges updates from the platform and from peers, and notifies its
  * listeners of changes. */
-export class PublicationKeeper {
+export class PublicationReplica {
   private readonly publication = Publication.create();
-  private readonly freshness = Freshness.create();
+  private readonly freshness = FreshnessTracker.create();
   private routeTable: RouteTable | undefined;
   private recoveredAt = -Infinity;
 
-  private constructor(private readonly options: PublicationKeeperOptions) {}
+  private constructor(private readonly options: PublicationReplicaOptions) {}
 
   /** Creates an empty replica.
    * @param options Dependencies and listeners. */
-  static create(options: PublicationKeeperOptions): PublicationKeeper {
-    return new PublicationKeeper(options);
+  static create(options: PublicationReplicaOptions): PublicationReplica {
+    return new PublicationReplica(options);
   }
 
   /** The routes in force; undefined before the first configuration. */
@@ -132,7 +132,7 @@
    * @param state Everything the peer knows, or all changes after a revision up to which nothing is missing here.
    * @param peerId Id of the peer.
    * @param requestedAt Monotonic milliseconds at which the state was requested. */
-  takeState(
+  applyPeerState(
     state: PublicationState,
     peerId: string,
     requestedAt: number,
@@ -155,7 +155,7 @@
   /** Adopts the age of a peer's data if the peer knows the same as this host. A different digest has no effect.
    * @param digest Digest of the peer.
    * @param moment Monotonic milliseconds of this process up to which the peer knows everything. */
-  takeConfirmation(digest: number, moment: number): void {
+  confirmFreshness(digest: number, moment: number): void {
     if (digest !== this.digest) return;
     this.detectOutageEnd(moment);
     this.freshness.confirm(moment);
@@ -180,7 +180,7 @@
     const { era, completeUpTo } = this.publication;
     const newEra = getEra(position);
     if (newEra <= era) return;
-    this.options.onEra(newEra);
+    this.options.onNewEra(newEra);
     if (completeUpTo === 0) return;
     this.recoveredAt = readClock();
     this.options.logger.warn({
@@ -212,7 +212,7 @@
         "upstream_published",
       );
     }
-    this.options.onUpstreams(result.changes);
+    this.options.onUpstreamChanges(result.changes);
   }
 
   private applyConfiguration(source: string): void {
--- a/src/published/route_table.ts
+++ b/src/published/route_table.ts
@@ -7,7 +7,7 @@
 } from "./configuration_schema.ts";
 
 /** The customer that owns an API key. */
-export interface KeyHolder {
+export interface ApiKeyOwner {
   name: string;
   /** 0 is the highest priority. */
   priority: number;
@@ -17,7 +17,7 @@
 export class RouteTable {
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly routesByName = new Map<string, Route>();
-  private readonly customersByKey = new Map<string, KeyHolder>();
+  private readonly customersByKey = new Map<string, ApiKeyOwner>();
   private readonly services = new Map<string, Service>();
 
   private constructor(private readonly configuration: PublishedConfiguration) {
@@ -54,7 +54,7 @@
   }
 
   /** Whether routes that are not anonymous require an API key. */
-  get needsKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.configuration.customers !== undefined;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Returns the customer that owns an API key, or undefined. */
-  getHolder(key: string): KeyHolder | undefined {
+  getApiKeyOwner(key: string): ApiKeyOwner | undefined {
     return this.customersByKey.get(key);
   }
 }
--- a/tests/clock/clock_test.ts
+++ b/tests/clock/clock_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import fc from "fast-check";
 import { Clock } from "../../src/clock/clock.ts";
-import { Freshness } from "../../src/published/freshness.ts";
+import { FreshnessTracker } from "../../src/published/freshness_tracker.ts";
 
 const START_UNIX_MS = 1_764_000_000_000;
 
@@ -80,7 +80,7 @@
 
 test("the age of state includes a suspension, also for a response to a request sent before it", (t) => {
   const { clock, advance, suspend } = createClock();
-  const freshness = Freshness.create();
+  const freshness = FreshnessTracker.create();
   freshness.confirm(clock.read());
   advance(100);
   const requestedAt = clock.read();
--- a/tests/forward/attempt_test.ts
+++ b/tests/forward/attempt_test.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import type { AddressInfo } from "node:net";
 import test from "ava";
-import { platformHeaders } from "../../platform/header_codec.ts";
+import { platformHeaderCodec } from "../../platform/header_codec.ts";
 import { Attempt } from "../../src/forward/attempt.ts";
 import type { ResponseHeaders } from "../../src/forward/caller_headers.ts";
 import { Upstream } from "../../src/upstreams/upstream.ts";
@@ -36,7 +36,7 @@
 function sendAttempt(upstream: Upstream): Promise<AttemptResult> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
-    Attempt.create(upstream, REQUEST, platformHeaders, {
+    Attempt.create(upstream, REQUEST, platformHeaderCodec, {
       onHead: () => undefined,
       onBytes: (bytes) => parts.push(bytes),
       onEnd: () =>
@@ -152,7 +152,7 @@
     setImmediate(() => socket.write(answer));
   });
   const upstream = createUpstream((server.address() as AddressInfo).port);
-  const attempt = Attempt.create(upstream, REQUEST, platformHeaders, {
+  const attempt = Attempt.create(upstream, REQUEST, platformHeaderCodec, {
     onHead: () => calls.push("head"),
     onBytes: () => calls.push("bytes"),
     onEnd: () => calls.push("end"),
--- a/tests/forward/forward_call.ts
+++ b/tests/forward/forward_call.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import type { AddressInfo } from "node:net";
 import { pino } from "pino";
-import { platformHeaders } from "../../platform/header_codec.ts";
+import { platformHeaderCodec } from "../../platform/header_codec.ts";
 import { CallForwarder } from "../../src/forward/call_forwarder.ts";
 import type {
   CallOutcome,
@@ -55,7 +55,7 @@
     requestId: REQUEST_ID,
     method: "POST",
     path: "/a/b",
-    headers: platformHeaders.readCaller(rawHeaders),
+    headers: platformHeaderCodec.readCaller(rawHeaders),
     body: Buffer.from("body"),
     fingerprint: 1,
     route,
@@ -133,7 +133,7 @@
     const answer = CallerResponse.create(response, () => false);
     const forwarder = CallForwarder.create(call, answer, {
       logger: pino({ level: "silent" }),
-      codec: platformHeaders,
+      codec: platformHeaderCodec,
       choose: (_call, tried) => {
         const upstream = upstreams.find((one) => !tried.has(one.id));
         return upstream &&
--- a/tests/gateway/with_gateways.ts
+++ b/tests/gateway/with_gateways.ts
@@ -2,9 +2,9 @@
 import { FakeStore } from "../../fakes/fake_store.ts";
 import { FakeWorker } from "../../fakes/fake_worker.ts";
 import { buildWorkerEntry } from "../../fakes/worker_entry.ts";
-import { platformSurface } from "../../platform/caller_surface.ts";
+import { platformDiscoveryProtocol } from "../../platform/discovery_protocol.ts";
 import { EngineClient } from "../../platform/engine_client.ts";
-import { platformHeaders } from "../../platform/header_codec.ts";
+import { platformHeaderCodec } from "../../platform/header_codec.ts";
 import { StoreClient } from "../../platform/store_client.ts";
 import { Gateway } from "../../src/gateway/gateway.ts";
 import type { GatewaySettings } from "../../src/gateway/gateway_settings.ts";
@@ -47,8 +47,8 @@
       logger: pino({ level: "silent" }),
       feed: StoreClient.create(settings.platformAddress),
       inventory: EngineClient.create(),
-      codec: platformHeaders,
-      discoveryProtocol: platformSurface,
+      codec: platformHeaderCodec,
+      discoveryProtocol: platformDiscoveryProtocol,
     });
     const started = { gateway, settings };
     this.gateways.push(started);
--- a/tests/platform/header_codec_test.ts
+++ b/tests/platform/header_codec_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { platformHeaders } from "../../platform/header_codec.ts";
+import { platformHeaderCodec } from "../../platform/header_codec.ts";
 
 const REQUEST = [
   "Host",
@@ -39,7 +39,7 @@
 }
 
 test("the headers of a caller's request are read", (t) => {
-  const caller = platformHeaders.readCaller(REQUEST);
+  const caller = platformHeaderCodec.readCaller(REQUEST);
   t.is(caller.requestId, "r-1");
   t.is(caller.host, "a.example");
   t.is(caller.remainingMs, 1_200);
@@ -50,8 +50,8 @@
 
 test("an upstream receives the system's headers, but not the API key", (t) => {
   const forwarded = toMap(
-    platformHeaders.writeUpstream(
-      platformHeaders.readCaller(REQUEST),
+    platformHeaderCodec.writeUpstream(
+      platformHeaderCodec.readCaller(REQUEST),
       UPSTREAM_HEADERS,
     ),
   );
@@ -77,8 +77,8 @@
 
 for (const name of INTERNAL_HEADERS) {
   test(`${name} from a caller is not forwarded`, (t) => {
-    const caller = platformHeaders.readCaller([...REQUEST, name, "forged"]);
-    const forwarded = platformHeaders.writeUpstream(caller, {
+    const caller = platformHeaderCodec.readCaller([...REQUEST, name, "forged"]);
+    const forwarded = platformHeaderCodec.writeUpstream(caller, {
       ...UPSTREAM_HEADERS,
       customer: undefined,
       urgency: undefined,
@@ -88,7 +88,7 @@
 }
 
 test("headers that the Connection header lists are removed, except for the platform's own headers", (t) => {
-  const caller = platformHeaders.readCaller([
+  const caller = platformHeaderCodec.readCaller([
     ...REQUEST,
     "Connection",
     "close, X-Other, X-Beechkeel-Model",
@@ -101,14 +101,14 @@
 
 test("a duplicate request id or host is ignored", (t) => {
   const duplicated = [...REQUEST, "X-Beechkeel-Attempt-Id", "r-2", "Host", "b"];
-  const caller = platformHeaders.readCaller(duplicated);
+  const caller = platformHeaderCodec.readCaller(duplicated);
   t.is(caller.requestId, undefined);
   t.is(caller.host, undefined);
 });
 
 test("a request counts as not run only if the upstream says so", (t) => {
   const read = (status: number, headers: Record<string, string>) =>
-    platformHeaders.readResponse(status, headers).isNotRun;
+    platformHeaderCodec.readResponse(status, headers).isNotRun;
   t.true(read(503, { "x-beechkeel-not-executed": "1" }));
   t.true(read(421, {}));
   t.false(read(503, {}));
@@ -117,7 +117,8 @@
 
 test("an upstream's load header is read, and a malformed one is ignored", (t) => {
   const read = (load: string) =>
-    platformHeaders.readResponse(200, { "x-beechkeel-server-load": load }).load;
+    platformHeaderCodec.readResponse(200, { "x-beechkeel-server-load": load })
+      .load;
   t.deepEqual(read("3,1,8"), { running: 3, waiting: 1 });
   t.is(read("many"), undefined);
   t.is(read(""), undefined);
--- a/tests/published/publication_keeper_test.ts
+++ b/tests/published/publication_replica_test.ts
@@ -1,21 +1,21 @@
 import { pino } from "pino";
 import test from "ava";
-import { PublicationKeeper } from "../../src/published/publication_keeper.ts";
+import { PublicationReplica } from "../../src/published/publication_replica.ts";
 import { buildConfiguration } from "./build_published.ts";
 
 /** Age in milliseconds that is longer than any relevant outage. */
 const LONG_AGO_MS = 60_000;
 
-function createReplica(): PublicationKeeper {
-  return PublicationKeeper.create({
+function createReplica(): PublicationReplica {
+  return PublicationReplica.create({
     logger: pino({ level: "silent" }),
     onConfiguration: () => undefined,
-    onEra: () => undefined,
-    onUpstreams: () => undefined,
+    onNewEra: () => undefined,
+    onUpstreamChanges: () => undefined,
   });
 }
 
-function applySnapshot(replica: PublicationKeeper, askedAt: number): void {
+function applySnapshot(replica: PublicationReplica, askedAt: number): void {
   const snapshot = {
     revision: 1,
     configuration: buildConfiguration(),
@@ -31,16 +31,16 @@
   const now = performance.now();
   applySnapshot(replica, now);
   const digest = replica.digest;
-  replica.takeConfirmation(digest, now - LONG_AGO_MS);
+  replica.confirmFreshness(digest, now - LONG_AGO_MS);
   t.true(replica.ageMs < LONG_AGO_MS);
 });
 
 test("a peer's confirmation counts only if its digest is the same", (t) => {
   const replica = createReplica();
   applySnapshot(replica, performance.now() - LONG_AGO_MS);
-  replica.takeConfirmation(replica.digest + 1, performance.now());
+  replica.confirmFreshness(replica.digest + 1, performance.now());
   t.true(replica.ageMs >= LONG_AGO_MS);
-  replica.takeConfirmation(replica.digest, performance.now());
+  replica.confirmFreshness(replica.digest, performance.now());
   t.true(replica.ageMs < LONG_AGO_MS);
 });
 
@@ -48,6 +48,6 @@
   const replica = createReplica();
   applySnapshot(replica, performance.now() - LONG_AGO_MS);
   t.true(replica.lapseEndsAt < performance.now());
-  replica.takeConfirmation(replica.digest, performance.now());
+  replica.confirmFreshness(replica.digest, performance.now());
   t.true(replica.lapseEndsAt > performance.now());
 });
