--- a/fakes/answer_text.ts
+++ b/fakes/answer_text.ts
@@ -11,7 +11,7 @@
 /** Full text of an answer.
  * @param prompt Last message of the request.
  * @param count Number of chunks in the answer. */
-export function getWholeText(prompt: string, count: number): string {
+export function getFullText(prompt: string, count: number): string {
   return Array.from({ length: count }, (_, index) => getChunk(prompt, index))
     .join("");
 }
--- a/fakes/engine_timing.ts
+++ b/fakes/engine_timing.ts
@@ -11,7 +11,7 @@
 /** Timing model of a batching engine that caches every prompt it has prefilled. */
 export class EngineTiming {
   /** Tokens of shared prompts prefilled so far, cache hits excluded. */
-  readTokens = 0;
+  prefilledTokens = 0;
   private readonly cachedPrompts = new Set<number>();
   private prefillEndsAt = 0;
 
@@ -26,10 +26,10 @@
    * @param prompt Number of the prompt.
    * @param tokens Length of the prompt in tokens.
    * @param now Monotonic milliseconds. */
-  read(prompt: number, tokens: number, now: number): number {
+  prefill(prompt: number, tokens: number, now: number): number {
     if (!this.cachedPrompts.has(prompt)) {
       this.cachedPrompts.add(prompt);
-      this.readTokens += tokens;
+      this.prefilledTokens += tokens;
       this.prefillEndsAt = Math.max(now, this.prefillEndsAt) +
         tokens / PREFILL_TOKENS_PER_MS;
     }
@@ -39,7 +39,7 @@
   /** Time to decode a number of events, in milliseconds.
    * @param events Number of events.
    * @param held Requests in flight on the engine. */
-  getEventsMs(events: number, held: number): number {
+  getDecodeMs(events: number, held: number): number {
     return events * STEPS_PER_EVENT *
       (BASE_STEP_MS + STEP_MS_PER_REQUEST * held);
   }
--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -13,7 +13,7 @@
 import {
   applyAvailability,
   type UpstreamAvailability,
-} from "./upstream_word.ts";
+} from "./upstream_availability.ts";
 
 /** A fault that an engine injects into its answers. */
 export type EngineFault = "none" | "crossed" | "truncated" | "silent";
@@ -30,15 +30,15 @@
   fault: EngineFault = "none";
   leaving = false;
   backoffSeconds: number | undefined;
-  saysLeaving = false;
+  announcesLeaving = false;
   /** Number of HTTP requests received, on any path. */
   requests = 0;
   /** Text that crashes the engine when a chat request with it in its body arrives; "" disables this. */
-  crashingText = "";
+  crashTriggerText = "";
   /** Whether a request has crashed the engine. */
   hasCrashed = false;
   /** Factor applied to all service times; values above 1 slow the engine down. */
-  slowness = 1;
+  slowdownFactor = 1;
   private readonly streams = new Map<string, EngineStream>();
   private readonly slots: EngineSlots;
   private fence = 0;
@@ -77,7 +77,7 @@
   }
 
   /** Total number of chunks generated for the requests in flight. */
-  get piecesInFlight(): number {
+  get chunksInFlight(): number {
     return [...this.streams.values()].reduce(
       (sum, stream) => sum + stream.chunks,
       0,
@@ -118,7 +118,7 @@
   }
 
   private triggersCrash(body: string): boolean {
-    return this.crashingText !== "" && body.includes(this.crashingText);
+    return this.crashTriggerText !== "" && body.includes(this.crashTriggerText);
   }
 
   private sendReport(response: ServerResponse): void {
@@ -152,7 +152,7 @@
   ): Promise<void> {
     const requestId = String(request.headers["x-request-id"]);
     if (this.leaving) {
-      this.ledger.refusedAt.push(Date.now());
+      this.ledger.declinedAt.push(Date.now());
       response.setHeader("x-not-run", "true");
       return reply(response, { error: "leaving" }, 503);
     }
@@ -241,11 +241,11 @@
     await this.slots.acquire(stream.priority);
     const { prefillMsPerThousand, tokenMs, batchSlowdown } = this.options;
     const uncached = stream.run.promptTokens - stream.run.cachedTokens;
-    await delay(this.slowness * uncached * prefillMsPerThousand / 1000);
+    await delay(this.slowdownFactor * uncached * prefillMsPerThousand / 1000);
     this.cache.put(stream.run.chat, stream.run.promptTokens + stream.total);
     while (stream.chunks < stream.total && this.isActive(stream, requestId)) {
       await delay(
-        this.slowness * tokenMs * (1 + batchSlowdown * this.streams.size),
+        this.slowdownFactor * tokenMs * (1 + batchSlowdown * this.streams.size),
       );
       stream.chunks += 1;
       this.flush(stream, requestId);
--- a/fakes/fake_platform.ts
+++ b/fakes/fake_platform.ts
@@ -23,8 +23,10 @@
   /** Number of calls to known paths received so far. */
   calls = 0;
   /** Maps the list of hosts for one reader, so that readers see different lists or reach each other through proxies. */
-  viewFor: (reader: string, hosts: Host[]) => Host[] = (_reader, hosts) =>
-    hosts;
+  selectHostsFor: (reader: string, hosts: Host[]) => Host[] = (
+    _reader,
+    hosts,
+  ) => hosts;
   private values = new Map<string, PublishedValue>();
   private staleValues = new Map<string, PublishedValue>();
   private revision = 0;
@@ -76,7 +78,7 @@
   }
 
   /** Pins the documents published so far as those served in the `stale` mode. */
-  freezeStale(): void {
+  pinStaleValues(): void {
     this.staleValues = new Map(this.values);
   }
 
@@ -159,7 +161,7 @@
   private sendHosts(response: ServerResponse, reader: string): void {
     reply(response, {
       version: this.version,
-      hosts: this.viewFor(reader, this.hosts),
+      hosts: this.selectHostsFor(reader, this.hosts),
     });
   }
 
--- a/fakes/fake_service.ts
+++ b/fakes/fake_service.ts
@@ -5,7 +5,7 @@
 import {
   applyAvailability,
   type UpstreamAvailability,
-} from "./upstream_word.ts";
+} from "./upstream_availability.ts";
 
 /** Options of a fake service. */
 export interface FakeServiceOptions {
@@ -25,7 +25,7 @@
   fault: ServiceFault = "none";
   leaving = false;
   backoffSeconds: number | undefined;
-  saysLeaving = false;
+  announcesLeaving = false;
   private inFlight = 0;
   private server: Server | undefined;
   private listeningPort = 0;
@@ -74,7 +74,7 @@
       });
     }
     if (this.leaving) {
-      this.ledger.refusedAt.push(Date.now());
+      this.ledger.declinedAt.push(Date.now());
       response.setHeader("x-not-run", "true");
       return reply(response, { error: "leaving" }, 503);
     }
--- a/fakes/fake_store.ts
+++ b/fakes/fake_store.ts
@@ -30,7 +30,7 @@
   /** Number of calls received. */
   calls = 0;
   /** Number of range reads among the calls. */
-  snapshotReads = 0;
+  rangeReads = 0;
   /** Era sent in all answers, incremented by each restore; undefined if no era is sent. */
   era: number | undefined = 1;
   private revision = 0;
@@ -87,7 +87,7 @@
   }
 
   /** Takes a snapshot of all items. */
-  copy(): StoreSnapshot {
+  takeSnapshot(): StoreSnapshot {
     return { revision: this.revision, items: new Map(this.items) };
   }
 
@@ -151,7 +151,7 @@
   }
 
   private answerRange(response: ServerResponse, query: URLSearchParams): void {
-    this.snapshotReads += 1;
+    this.rangeReads += 1;
     const prefix = query.get("path_prefix") ?? "";
     const after = query.get("after") ?? "";
     const matching = [...this.items.values()].filter((item) =>
--- a/fakes/fake_worker.ts
+++ b/fakes/fake_worker.ts
@@ -21,7 +21,7 @@
   /** Requests received, in order of arrival, without those addressed to another instance. */
   readonly arrivals: WorkerArrival[] = [];
   /** Handler of the requests. */
-  behaviour: WorkerBehaviour = answerWell;
+  behaviour: WorkerBehaviour = answerSuccessfully;
   /** Start time that the worker reports, in Unix milliseconds. */
   startedAt = Date.now();
   /** Whether `crash` was called. */
@@ -47,7 +47,7 @@
 
   /** Headers that seal an answer: the attempt id and the response seal, without which an answer does not count.
    * @param request The request that is answered. */
-  prove(request: IncomingMessage): Record<string, string> {
+  buildSealHeaders(request: IncomingMessage): Record<string, string> {
     return {
       "X-Beechkeel-Attempt-Id": String(
         request.headers["x-beechkeel-attempt-id"],
@@ -89,14 +89,18 @@
 }
 
 /** Answers with the worker's id and the headers that seal the answer. */
-export const answerWell: WorkerBehaviour = (request, response, worker) => {
-  response.writeHead(200, worker.prove(request));
+export const answerSuccessfully: WorkerBehaviour = (
+  request,
+  response,
+  worker,
+) => {
+  response.writeHead(200, worker.buildSealHeaders(request));
   response.end(worker.id);
 };
 
 /** Builds a behaviour that declines each request as not executed.
  * @param headers Further headers of the answers. */
-export function turnAway(
+export function declineRequests(
   headers: Record<string, string> = {},
 ): WorkerBehaviour {
   return (_request, response) => {
--- a/fakes/ledger.ts
+++ b/fakes/ledger.ts
@@ -22,7 +22,7 @@
   readonly orders: { fence: number; models: string[]; isAccepted: boolean }[] =
     [];
   /** Times of the requests that were declined, because the upstream was leaving or asked for a backoff. */
-  readonly refusedAt: number[] = [];
+  readonly declinedAt: number[] = [];
   peakInFlight = 0;
 
   private constructor() {}
--- a/fakes/bound_ledger.ts
+++ b/fakes/load_bound_ledger.ts
@@ -16,22 +16,22 @@
 }
 
 /** Records the load of engines at each arrival of a request, compared with the load bound. */
-export class BoundLedger {
+export class LoadBoundLedger {
   private readonly arrivals: Arrival[] = [];
 
   private constructor(private readonly multiple: number) {}
 
   /** Creates an empty ledger.
    * @param multiple Multiple of the mean load that the bound allows. */
-  static create(multiple: number): BoundLedger {
-    return new BoundLedger(multiple);
+  static create(multiple: number): LoadBoundLedger {
+    return new LoadBoundLedger(multiple);
   }
 
   /** Records the arrival of a request at an engine.
    * @param at Monotonic milliseconds.
    * @param held Requests in flight on the engine before this one.
    * @param engines All engines of the service, with their requests in flight. */
-  note(
+  recordArrival(
     at: number,
     held: number,
     engines: readonly { held: number }[],
@@ -43,7 +43,7 @@
   }
 
   /** The full window with the greatest share of its requests above the bound. */
-  get worst(): LoadBoundWindow {
+  get worstWindow(): LoadBoundWindow {
     let worst: LoadBoundWindow = { requests: 0, above: 0 };
     let first = 0;
     let above = 0;
@@ -55,13 +55,13 @@
         first += 1;
       }
       const window = { requests: index - first + 1, above };
-      if (at >= fullFrom && getPart(window) > getPart(worst)) worst = window;
+      if (at >= fullFrom && getShare(window) > getShare(worst)) worst = window;
     });
     return worst;
   }
 
   /** Greatest number of requests by which an engine was above the bound when another request reached it. */
-  get mostAbove(): number {
+  get maxExcess(): number {
     return Math.max(0, ...this.arrivals.map(({ excess }) => excess));
   }
 
@@ -73,6 +73,6 @@
 
 /** Share of a window's requests that reached engines above the bound.
  * @param window The window. */
-export function getPart({ above, requests }: LoadBoundWindow): number {
+export function getShare({ above, requests }: LoadBoundWindow): number {
   return above / Math.max(1, requests);
 }
--- a/fakes/prompt_traffic.ts
+++ b/fakes/prompt_traffic.ts
@@ -26,7 +26,7 @@
 ];
 
 /** Names of the kinds of request, in the order of their definitions. */
-export const KIND_NAMES = ["read", "chat", "tag"] as const;
+export const REQUEST_KIND_NAMES = ["read", "chat", "tag"] as const;
 
 /** Options of the traffic. */
 export interface PromptTrafficOptions {
@@ -43,7 +43,7 @@
 
 /** One request to an engine. */
 export interface PromptRequest {
-  kind: (typeof KIND_NAMES)[number];
+  kind: (typeof REQUEST_KIND_NAMES)[number];
   /** Number of the shared prompt. */
   prompt: number;
   /** Length of the shared prompt in tokens. */
@@ -77,7 +77,7 @@
   }
 
   /** Draws the exponentially distributed time to the next request, in milliseconds. */
-  drawPauseMs(): number {
+  drawInterarrivalMs(): number {
     const { requestsPerSecond } = this.options;
     return -Math.log(1 - this.random.fraction()) * 1_000 / requestsPerSecond;
   }
@@ -90,7 +90,7 @@
     const prompt = this.drawHotPrompt(elapsedMs) ??
       drawIndex(this.cumulativePromptWeights[index]!, this.random);
     return {
-      kind: KIND_NAMES[index]!,
+      kind: REQUEST_KIND_NAMES[index]!,
       prompt: index * PROMPTS_PER_KIND + prompt,
       tokens: kind.tokens,
       events: drawEvents(kind, this.random),
--- a/fakes/upstream_word.ts
+++ b/fakes/upstream_availability.ts
@@ -7,7 +7,7 @@
   /** Backoff in seconds that it asks for when it declines a request; undefined if it accepts requests. */
   backoffSeconds: number | undefined;
   /** Whether its answers announce that it is leaving, independently of its report. */
-  saysLeaving: boolean;
+  announcesLeaving: boolean;
   /** Ledger in which declined requests are recorded. */
   readonly ledger: Ledger;
 }
@@ -20,11 +20,11 @@
   response: ServerResponse,
   availability: UpstreamAvailability,
 ): boolean {
-  if (availability.saysLeaving) response.setHeader("x-leaving", "true");
+  if (availability.announcesLeaving) response.setHeader("x-leaving", "true");
   if (availability.backoffSeconds === undefined) return false;
   response.setHeader("x-not-run", "true");
   response.setHeader("retry-after", String(availability.backoffSeconds));
-  availability.ledger.refusedAt.push(Date.now());
+  availability.ledger.declinedAt.push(Date.now());
   reply(response, { error: "full" }, 503);
   return true;
 }
--- a/soak/answer_invariants.ts
+++ b/soak/answer_invariants.ts
@@ -3,7 +3,7 @@
 import { type CallerAttempt, KIND_RULES } from "./caller_attempt.ts";
 import { checkCrashingRequests } from "./crashing_requests.ts";
 import type { Evidence } from "./evidence.ts";
-import { CUSTOMER, LASTING_KEY } from "./soak_fleet.ts";
+import { CUSTOMER, PERMANENT_KEY } from "./soak_fleet.ts";
 import { countEvents, getEventData } from "./stream_text.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
@@ -188,7 +188,7 @@
 /** Finds denied requests with the permanent key on permanent routes, which each version of the configuration allows. */
 function checkDenials({ attempts }: Evidence): string[] {
   return attempts.filter((attempt) =>
-    attempt.key === LASTING_KEY && attempt.kind !== "version" &&
+    attempt.key === PERMANENT_KEY && attempt.kind !== "version" &&
     DENIAL_STATUSES.has(attempt.status ?? 0)
   ).map((attempt) => `${attempt.requestId} got ${attempt.status}`);
 }
--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -3,7 +3,7 @@
 import { Random } from "../src/random/random.ts";
 import type { Evidence } from "./evidence.ts";
 import { ANSWER_INVARIANTS } from "./answer_invariants.ts";
-import { TIMING_INVARIANTS } from "./judge_times.ts";
+import { TIMING_INVARIANTS } from "./timing_invariants.ts";
 import { describeResult, type SeedResult } from "./seed_result.ts";
 import { SoakCaller } from "./soak_caller.ts";
 import { SOAK_FAULTS } from "./soak_faults.ts";
@@ -130,8 +130,8 @@
   let successes = 0;
   while (successes < REQUIRED_SUCCESSES) {
     if (performance.now() > endsAt) return ["the fleet does not serve again"];
-    const look = await caller.sendCalmly("look");
-    const chat = await caller.sendCalmly("chat");
+    const look = await caller.sendToEnd("look");
+    const chat = await caller.sendToEnd("chat");
     const isServed = look?.status === 200 && chat?.isWhole === true;
     successes = isServed ? successes + 1 : 0;
     if (!isServed) await delay(RECOVERY_RETRY_MS);
--- a/soak/soak_caller.ts
+++ b/soak/soak_caller.ts
@@ -8,7 +8,7 @@
   type RequestKind,
 } from "./caller_attempt.ts";
 import type { GatewayProcess } from "./gateway_process.ts";
-import { HOST, LASTING_KEY, locate, type SoakFleet } from "./soak_fleet.ts";
+import { HOST, locate, PERMANENT_KEY, type SoakFleet } from "./soak_fleet.ts";
 
 /** Kinds of request, each repeated in proportion to how often callers send it. */
 const KINDS: readonly RequestKind[] = [
@@ -87,7 +87,7 @@
   async sendNamed(kind: RequestKind, name: string): Promise<void> {
     const gateway = await this.chooseGateway();
     if (!gateway) return;
-    const attempt = this.buildAttempt(kind, LASTING_KEY, gateway);
+    const attempt = this.buildAttempt(kind, PERMANENT_KEY, gateway);
     attempt.path = `/${kind}/${name}`;
     if (attempt.body !== "") attempt.body = name;
     await this.send(attempt, gateway, undefined);
@@ -96,10 +96,10 @@
   /** Sends one request with the permanent key, without giving up early. Returns the attempt, or undefined if no gateway
    * is known.
    * @param kind Kind of the request. */
-  async sendCalmly(kind: RequestKind): Promise<CallerAttempt | undefined> {
+  async sendToEnd(kind: RequestKind): Promise<CallerAttempt | undefined> {
     const gateway = await this.chooseGateway();
     if (!gateway) return undefined;
-    const attempt = this.buildAttempt(kind, LASTING_KEY, gateway);
+    const attempt = this.buildAttempt(kind, PERMANENT_KEY, gateway);
     await this.send(attempt, gateway, undefined);
     return attempt;
   }
@@ -109,7 +109,7 @@
     if (!gateway) return;
     const kind = this.random.pick(KINDS);
     const hasNewKey = this.random.fraction() < NEW_KEY_SHARE;
-    const key = hasNewKey ? this.fleet.newest.key : LASTING_KEY;
+    const key = hasNewKey ? this.fleet.newestVersion.key : PERMANENT_KEY;
     const givesUp = this.random.fraction() < GIVE_UP_SHARE;
     const giveUpMs = givesUp
       ? this.random.integer(...GIVE_UP_RANGE_MS)
@@ -155,7 +155,7 @@
   ): CallerAttempt {
     this.count += 1;
     const requestId = `${this.name}-${this.count}`;
-    const { version } = this.fleet.newest;
+    const { version } = this.fleet.newestVersion;
     const { isStream, method } = KIND_RULES[kind];
     const chat = this.random.integer(1, CHAT_COUNT);
     return {
--- a/soak/soak_faults.ts
+++ b/soak/soak_faults.ts
@@ -125,12 +125,12 @@
  * write the lost items again. */
 async function restoreStore(fleet: SoakFleet, random: Random): Promise<void> {
   const { store } = fleet;
-  const snapshot = store.copy();
+  const snapshot = store.takeSnapshot();
   await delay(random.integer(300, 4_000));
   const window = fleet.faults.begin("restore", ["store copy"]);
   store.behaviour = "unavailable";
   await delay(random.integer(50, 600));
-  const lost = store.copy();
+  const lost = store.takeSnapshot();
   store.restore(snapshot);
   store.behaviour = "well";
   await delay(random.integer(0, 2_000));
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -24,7 +24,7 @@
 import type { WorkerRun } from "./worker_run.ts";
 
 /** API key that every version of the configuration contains. */
-export const LASTING_KEY = "key-lasting";
+export const PERMANENT_KEY = "key-lasting";
 /** Customer that owns all API keys. */
 export const CUSTOMER = "customer-1";
 /** Host name in the requests of callers. */
@@ -96,7 +96,7 @@
   }
 
   /** The newest version of the configuration. */
-  get newest(): PublishedVersion {
+  get newestVersion(): PublishedVersion {
     return this.versions.at(-1)!;
   }
 
@@ -244,7 +244,7 @@
       { name: "plain", max_conns: 200 },
       { name: "engine", max_conns: 200, engine: { moves: false } },
     ],
-    tenants: [{ name: CUSTOMER, api_keys: [LASTING_KEY, key] }],
+    tenants: [{ name: CUSTOMER, api_keys: [PERMANENT_KEY, key] }],
   };
 }
 
--- a/soak/soak_worker.ts
+++ b/soak/soak_worker.ts
@@ -183,7 +183,7 @@
     if (isCrashingPath(run.path)) return this.onCrashRequest();
     if (fault === "reset") return resetSocket(request.socket);
     if (fault === "errors") return this.answerError(request, response, run);
-    const headers = this.worker.prove(request);
+    const headers = this.worker.buildSealHeaders(request);
     if (fault === "crossed") {
       headers["X-Beechkeel-Attempt-Id"] = "of-another-request";
     }
@@ -200,7 +200,7 @@
   ): void {
     run.status = 500;
     run.isWhole = true;
-    response.writeHead(500, this.worker.prove(request)).end("no");
+    response.writeHead(500, this.worker.buildSealHeaders(request)).end("no");
   }
 
   private answerWhole(
--- a/tests/gateway/backoff_test.ts
+++ b/tests/gateway/backoff_test.ts
@@ -6,7 +6,10 @@
  * drew to these upstreams while others were free. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
-import { answerWell, turnAway } from "../../fakes/fake_worker.ts";
+import {
+  answerSuccessfully,
+  declineRequests,
+} from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call } from "./call.ts";
 import { waitForStatus } from "./wait_for_gateway.ts";
@@ -39,7 +42,7 @@
     const full = workers.slice(0, 3);
     for (const worker of full) {
       worker.arrivals.length = 0;
-      worker.behaviour = turnAway({ "Retry-After": String(BACKOFF_S) });
+      worker.behaviour = declineRequests({ "Retry-After": String(BACKOFF_S) });
     }
     for (let index = 0; index < CALLS; index++) {
       t.is((await call(gateway, KEY)).status, 200);
@@ -59,8 +62,10 @@
     fleet.publishConfiguration(1, [KEY], { max_attempts: 3 });
     const gateway = await fleet.startGateway();
     await waitForStatus(gateway, KEY, 200);
-    longer.behaviour = turnAway({ "Retry-After": String(2 * BACKOFF_S) });
-    shorter.behaviour = turnAway({ "Retry-After": String(BACKOFF_S) });
+    longer.behaviour = declineRequests({
+      "Retry-After": String(2 * BACKOFF_S),
+    });
+    shorter.behaviour = declineRequests({ "Retry-After": String(BACKOFF_S) });
     await waitForStatus(gateway, KEY, 503);
     const before = longer.arrivals.length + shorter.arrivals.length;
     const refused = await call(gateway, KEY);
@@ -79,7 +84,7 @@
     ];
     leaving.behaviour = (request, response, worker) => {
       response.setHeader("Server-Leaving", "1");
-      answerWell(request, response, worker);
+      answerSuccessfully(request, response, worker);
     };
     fleet.publishConfiguration(1, [KEY]);
     const gateway = await fleet.startGateway();
@@ -91,7 +96,7 @@
     t.is(leaving.arrivals.length, 1);
     t.true(staying.arrivals.length >= CALLS);
     leaving.startedAt += 1_000;
-    leaving.behaviour = answerWell;
+    leaving.behaviour = answerSuccessfully;
     fleet.publishWorker(leaving, "s", "ready");
     await waitUntil("the restarted worker is used", async () => {
       await call(gateway, KEY);
@@ -109,7 +114,7 @@
     const full = workers.slice(0, 6);
     for (const worker of full) {
       worker.arrivals.length = 0;
-      worker.behaviour = turnAway();
+      worker.behaviour = declineRequests();
     }
     const startedAt = performance.now();
     for (let index = 0; index < 4 * CALLS; index++) {
--- a/tests/gateway/crashing_request_test.ts
+++ b/tests/gateway/crashing_request_test.ts
@@ -5,7 +5,10 @@
  * different hosts and ids. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
-import { answerWell, type FakeWorker } from "../../fakes/fake_worker.ts";
+import {
+  answerSuccessfully,
+  type FakeWorker,
+} from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call, locate } from "./call.ts";
 import {
@@ -32,7 +35,7 @@
     worker.behaviour = (request, response, self) => {
       const isCrashing = self.arrivals.at(-1)?.body === CRASHING_BODY;
       if (isCrashing) self.crash();
-      else answerWell(request, response, self);
+      else answerSuccessfully(request, response, self);
     };
   }
   return workers;
--- a/tests/gateway/load_bound_test.ts
+++ b/tests/gateway/load_bound_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { getPart } from "../../fakes/bound_ledger.ts";
+import { getShare } from "../../fakes/load_bound_ledger.ts";
 import {
   VirtualGateways,
   type VirtualGatewaysOptions,
@@ -22,7 +22,7 @@
   changes: Partial<VirtualGatewaysOptions>,
 ): number[] {
   return SEEDS.map((seed) => {
-    const { worst } = VirtualGateways.run({
+    const { worstWindow: worst } = VirtualGateways.run({
       ...fleet,
       seed,
       engines: 18,
@@ -35,7 +35,7 @@
       leaving: 0,
       ...changes,
     }).ledger;
-    return getPart(worst);
+    return getShare(worst);
   });
 }
 
--- a/tests/gateway/restart_reads_test.ts
+++ b/tests/gateway/restart_reads_test.ts
@@ -12,11 +12,11 @@
     const first = await fleet.startGateway();
     await waitUntilServing(first);
     const { gossipAddress } = first.settings;
-    const readsBefore = fleet.store.snapshotReads;
+    const readsBefore = fleet.store.rangeReads;
     const second = await fleet.startGateway({ seedAddresses: [gossipAddress] });
     await waitUntilServing(second);
     t.is((await call(second, KEY)).status, 200);
-    t.is(fleet.store.snapshotReads, readsBefore);
+    t.is(fleet.store.rangeReads, readsBefore);
   });
 });
 
--- a/tests/gateway/restored_store_test.ts
+++ b/tests/gateway/restored_store_test.ts
@@ -76,7 +76,7 @@
 test("a worker that drains after the restore gets no more requests", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     republishWorker(fixture);
     await publishAndWait(fixture, 2, "key-2");
     fleet.store.restore(copy);
@@ -89,7 +89,7 @@
 test("a worker that drains after the restore gets no more requests once new revisions exceed the old ones", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     await publishAndWait(fixture, 2, "key-2");
     fleet.store.restore(copy);
     fleet.publishWorker(worker, "s", "draining");
@@ -102,7 +102,7 @@
 test("a worker that drained in the lost seconds stays draining although the copy says ready", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     fleet.publishWorker(worker, "s", "draining");
     raiseRevision(fleet);
     await publishAndWait(fixture, 2, "key-2");
@@ -115,7 +115,7 @@
 test("a worker that left in the lost seconds is not used because of its entry in the copy", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     fleet.store.remove(`servers/${worker.id}`);
     await publishAndWait(fixture, 2, "key-2");
     fleet.store.restore(copy);
@@ -127,7 +127,7 @@
 test("a worker that restarted in the lost seconds is used although the copy has its previous start", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     worker.startedAt += 1_000;
     fleet.publishWorker(worker, "s", "ready");
     await publishAndWait(fixture, 2, "key-2");
@@ -140,7 +140,7 @@
 test("a worker born in the lost seconds is used until it is written again", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker, other } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     const added = await fleet.startWorker("s");
     await publishAndWait(fixture, 2, "key-2");
     fleet.publishWorker(worker, "s", "draining");
@@ -157,7 +157,7 @@
 test("a worker of the copy that is removed after the restore is no longer used", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     republishWorker(fixture);
     await publishAndWait(fixture, 2, "key-2");
     fleet.store.restore(copy);
@@ -174,7 +174,7 @@
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway } = fixture;
     await publishAndWait(fixture, 2, "key-2");
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     fleet.publishConfiguration(3, [KEY, "key-3"]);
     await waitForStatus(gateway, "key-3", 200);
     t.is((await call(gateway, "key-2")).status, 401);
@@ -192,7 +192,7 @@
 test("a host that starts after the restore learns from others that a worker is draining", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     fleet.publishWorker(worker, "s", "draining");
     raiseRevision(fleet);
     await publishAndWait(fixture, 2, "key-2");
@@ -210,7 +210,7 @@
 test("two restores in a row are distinguished", async (t) => {
   await withTwoWorkers(async (fixture) => {
     const { fleet, gateway, worker } = fixture;
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     republishWorker(fixture);
     await publishAndWait(fixture, 2, "key-2");
     fleet.store.restore(copy);
--- a/tests/gateway/virtual_engine.ts
+++ b/tests/gateway/virtual_engine.ts
@@ -41,7 +41,7 @@
 
   /** Number of tokens of shared prompts that it had to read because they were not cached. */
   get readTokens(): number {
-    return this.timing.readTokens;
+    return this.timing.prefilledTokens;
   }
 
   /** Runs a request.
@@ -52,8 +52,8 @@
     const { timeline, timing } = this;
     const { prompt, tokens, events } = request;
     this.held += 1;
-    const headMs = timing.read(prompt, tokens, timeline.read());
-    const eventsMs = timing.getEventsMs(events, this.held);
+    const headMs = timing.prefill(prompt, tokens, timeline.read());
+    const eventsMs = timing.getDecodeMs(events, this.held);
     timeline.after(headMs, onHead);
     timeline.after(headMs + eventsMs, () => {
       this.held -= 1;
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -1,5 +1,5 @@
 import { pino } from "pino";
-import { BoundLedger } from "../../fakes/bound_ledger.ts";
+import { LoadBoundLedger } from "../../fakes/load_bound_ledger.ts";
 import {
   type PromptRequest,
   PromptTraffic,
@@ -57,7 +57,7 @@
 export class VirtualGateways {
   readonly timeline = VirtualTimeline.create();
   /** Loads of the engines as requests reached them. */
-  readonly ledger = BoundLedger.create(BOUND_MULTIPLE);
+  readonly ledger = LoadBoundLedger.create(BOUND_MULTIPLE);
   /** Number of requests by the basis on which their engine was chosen. */
   readonly choiceCounts = new Map<string, number>();
   readonly engines: VirtualEngine[];
@@ -228,7 +228,7 @@
       const elapsedMs = timeline.read() - WARM_UP_MS;
       if (elapsedMs > options.trafficMs) return;
       this.sendRequest(random.pick(this.hosts), traffic.drawRequest(elapsedMs));
-      timeline.after(traffic.drawPauseMs(), sendNext);
+      timeline.after(traffic.drawInterarrivalMs(), sendNext);
     };
     timeline.after(WARM_UP_MS, sendNext);
   }
@@ -248,7 +248,7 @@
     const { timeline } = this;
     const sentAt = timeline.read();
     timeline.after(this.random.integer(...SEND_DELAY_RANGE_MS), () => {
-      this.ledger.note(timeline.read(), engine.held, this.engines);
+      this.ledger.recordArrival(timeline.read(), engine.held, this.engines);
       engine.run(
         request,
         () =>
--- a/tests/platform/signals_test.ts
+++ b/tests/platform/signals_test.ts
@@ -20,7 +20,7 @@
   try {
     const random = Random.create(SEED);
     const caller = SoakCaller.create("c", fleet, random, false);
-    const sending = caller.sendCalmly("talk");
+    const sending = caller.sendToEnd("talk");
     await waitUntil("the stream is in progress", () => fleet.runs.length === 1);
     await body(fleet);
     await sending;
--- a/tests/soak/invariants_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -3,8 +3,8 @@
 import type { Evidence } from "../../soak/evidence.ts";
 import { FaultLog } from "../../soak/fault_log.ts";
 import { ANSWER_INVARIANTS } from "../../soak/answer_invariants.ts";
-import { TIMING_INVARIANTS } from "../../soak/judge_times.ts";
-import { CUSTOMER, LASTING_KEY } from "../../soak/soak_fleet.ts";
+import { TIMING_INVARIANTS } from "../../soak/timing_invariants.ts";
+import { CUSTOMER, PERMANENT_KEY } from "../../soak/soak_fleet.ts";
 import {
   countEvents,
   formatAnswer,
@@ -22,7 +22,7 @@
     path: "/book/c-1",
     body: "b",
     prompt: "||",
-    key: LASTING_KEY,
+    key: PERMANENT_KEY,
     version: undefined,
     afterEvent: 0,
     gateway: "g-0",
--- a/tests/system/backoff_test.ts
+++ b/tests/system/backoff_test.ts
@@ -30,7 +30,7 @@
       t.true(response.isComplete, response.kind);
     }
     const refusalCounts = refusingServices.map((service) =>
-      service.ledger.refusedAt.length
+      service.ledger.declinedAt.length
     );
     const maxRequests = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
     t.true(
@@ -51,7 +51,7 @@
     longer!.backoffSeconds = 2 * BACKOFF_S;
     shorter!.backoffSeconds = BACKOFF_S;
     const countRefusals = () =>
-      longer!.ledger.refusedAt.length + shorter!.ledger.refusedAt.length;
+      longer!.ledger.declinedAt.length + shorter!.ledger.declinedAt.length;
     await waitUntil("both services have refused a request", async () => {
       await send();
       return countRefusals() >= 2;
@@ -81,7 +81,7 @@
     let chats = 0;
     await waitUntil("the engine has refused a request", async () => {
       await send(`c-${chats++}`);
-      return refusingEngine!.ledger.refusedAt.length > 0;
+      return refusingEngine!.ledger.declinedAt.length > 0;
     });
     await delay(100);
     const before = refusingEngine!.requests;
@@ -102,7 +102,7 @@
     };
     const [leaving, staying] = fleet.services;
     await waitUntil("bookings run", async () => (await send(0)).isComplete);
-    leaving!.saysLeaving = true;
+    leaving!.announcesLeaving = true;
     const before = leaving!.ledger.runs.length;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       t.true((await send(index)).isComplete);
--- a/tests/system/bound_test.ts
+++ b/tests/system/bound_test.ts
@@ -65,7 +65,7 @@
     await surge.stop();
   },
   "one engine is slow": async (fleet) => {
-    fleet.engines[2]!.slowness = 8;
+    fleet.engines[2]!.slowdownFactor = 8;
     await waitForRuns(fleet, 200);
   },
   "one engine goes and comes": async (fleet) => {
--- a/tests/system/complete_response_test.ts
+++ b/tests/system/complete_response_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { getWholeText } from "../../fakes/answer_text.ts";
+import { getFullText } from "../../fakes/answer_text.ts";
 import type { EngineFault } from "../../fakes/fake_engine.ts";
 import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
@@ -22,7 +22,7 @@
         40,
       );
       t.true(response.isComplete);
-      t.is(response.text, getWholeText("hello", 40));
+      t.is(response.text, getFullText("hello", 40));
       t.true(
         placement.engine.ledger.runs.length + (fault === "silent" ? 1 : 0) > 0,
       );
@@ -40,11 +40,11 @@
         ["hello"],
         LONG_RESPONSE_TOKENS,
       );
-      await waitUntil("some of the response", () => engine.piecesInFlight > 20);
+      await waitUntil("some of the response", () => engine.chunksInFlight > 20);
       owner.signal(signal);
       const response = await pendingResponse;
       t.true(response.isComplete);
-      t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
+      t.is(response.text, getFullText("hello", LONG_RESPONSE_TOKENS));
       t.true(engine.ledger.runs.slice(1).every((run) => run.resumeFrom > 0));
     });
   });
@@ -59,11 +59,11 @@
       ["hello"],
       LONG_RESPONSE_TOKENS,
     );
-    await waitUntil("some of the response", () => engine.piecesInFlight > 20);
+    await waitUntil("some of the response", () => engine.chunksInFlight > 20);
     await engine.close();
     const response = await pendingResponse;
     t.true(response.isComplete);
-    t.is(response.text, getWholeText("hello", LONG_RESPONSE_TOKENS));
+    t.is(response.text, getFullText("hello", LONG_RESPONSE_TOKENS));
     const others = fleet.engines.filter((other) => other !== engine).flatMap((
       other,
     ) => other.ledger.runs);
@@ -81,7 +81,7 @@
       ["hello"],
       LONG_RESPONSE_TOKENS,
     );
-    await waitUntil("some of the response", () => engine.piecesInFlight > 20);
+    await waitUntil("some of the response", () => engine.chunksInFlight > 20);
     await entry.kill();
     t.false((await pendingResponse).isComplete);
     await waitUntil("the engine to be idle", () => engine.inFlight === 0);
--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -60,7 +60,7 @@
 
 test.serial("an older value from a stale platform never replaces a newer one, not even on a restarted router", async (t) => {
   await withFleet({}, async (fleet) => {
-    fleet.platform.freezeStale();
+    fleet.platform.pinStaleValues();
     const revision = publishShare(fleet, 0.4);
     await waitForRevision(fleet.routers, revision);
     fleet.platform.setMode("stale");
--- a/tests/system/crashing_request_test.ts
+++ b/tests/system/crashing_request_test.ts
@@ -14,7 +14,7 @@
 
 test.serial("a chat request that crashes engines is blocked from the remaining ones, whichever router receives it", async (t) => {
   await withFleet({ engines: ENGINE_COUNT }, async (fleet, caller) => {
-    for (const engine of fleet.engines) engine.crashingText = CRASHING;
+    for (const engine of fleet.engines) engine.crashTriggerText = CRASHING;
     const send = (index: number, text: string, chat = "c1") => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.chat({ customer: CUSTOMER, router }, chat, [text]);
--- a/tests/system/leaving_test.ts
+++ b/tests/system/leaving_test.ts
@@ -67,7 +67,7 @@
       );
       const result = await load.stop();
       t.deepEqual(
-        engine.ledger.refusedAt.filter((at) => at > drainDeadline),
+        engine.ledger.declinedAt.filter((at) => at > drainDeadline),
         [],
       );
       t.is(
--- a/tests/system/routed_request_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { getWholeText } from "../../fakes/answer_text.ts";
+import { getFullText } from "../../fakes/answer_text.ts";
 import { Caller } from "../../tools/caller.ts";
 import { Fleet } from "../../tools/fleet.ts";
 
@@ -15,7 +15,7 @@
       "c1",
       [firstMessage],
     );
-    t.is(response.text, getWholeText(firstMessage, 20));
+    t.is(response.text, getFullText(firstMessage, 20));
     const next = await caller.chat(
       { customer, router: second!.address },
       "c1",
--- a/tools/bench_gateways.ts
+++ b/tools/bench_gateways.ts
@@ -54,7 +54,8 @@
 async function measurePropagationMs(fleet: SoakFleet): Promise<number> {
   fleet.publishNextVersion();
   const startedAt = performance.now();
-  const line = `beechkeel_configuration_version ${fleet.newest.version}\n`;
+  const line =
+    `beechkeel_configuration_version ${fleet.newestVersion.version}\n`;
   const wait = async (gateway: GatewayProcess) => {
     while (!(await fetchMetrics(gateway)).includes(line)) await delay(POLL_MS);
   };
--- a/tools/bench_load_bound.ts
+++ b/tools/bench_load_bound.ts
@@ -3,13 +3,13 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { command, number, option, run } from "cmd-ts";
 import { Agent, request } from "undici";
-import { BoundLedger, getPart } from "../fakes/bound_ledger.ts";
+import { getShare, LoadBoundLedger } from "../fakes/load_bound_ledger.ts";
 import {
-  KIND_NAMES,
   type PromptRequest,
   PromptTraffic,
+  REQUEST_KIND_NAMES,
 } from "../fakes/prompt_traffic.ts";
-import { HOST, LASTING_KEY, SoakFleet } from "../soak/soak_fleet.ts";
+import { HOST, PERMANENT_KEY, SoakFleet } from "../soak/soak_fleet.ts";
 import { Random } from "../src/random/random.ts";
 import { TimedEngine } from "./timed_engine.ts";
 
@@ -36,7 +36,7 @@
 function publishRoutes(fleet: SoakFleet): void {
   fleet.store.put("op/config", {
     version: CONFIGURATION_VERSION,
-    routes: KIND_NAMES.map((name) => ({
+    routes: REQUEST_KIND_NAMES.map((name) => ({
       name,
       host: HOST,
       path_prefix: `/${name}/`,
@@ -49,7 +49,7 @@
       gap_target_ms: 300,
     })),
     services: [{ name: "engine", max_conns: 300, engine: { moves: false } }],
-    tenants: [{ name: "customer", api_keys: [LASTING_KEY] }],
+    tenants: [{ name: "customer", api_keys: [PERMANENT_KEY] }],
   });
 }
 
@@ -68,7 +68,7 @@
         dispatcher: agent,
         headers: {
           host: HOST,
-          "x-api-key": LASTING_KEY,
+          "x-api-key": PERMANENT_KEY,
           "x-beechkeel-attempt-id": `bench-${id}`,
           "x-beechkeel-deadline-ms": String(REQUEST_TIMEOUT_MS),
           "x-beechkeel-model": "m",
@@ -116,7 +116,7 @@
         },
       ),
     );
-    nextAt += traffic.drawPauseMs();
+    nextAt += traffic.drawInterarrivalMs();
   }
   await Promise.all(calls);
   await agent.close();
@@ -131,10 +131,10 @@
     engines: 0,
     plain: 0,
   });
-  const ledger = BoundLedger.create(BOUND_MULTIPLE);
+  const ledger = LoadBoundLedger.create(BOUND_MULTIPLE);
   const engines: TimedEngine[] = [];
   const recordArrival = (held: number) =>
-    ledger.note(performance.now(), held, engines);
+    ledger.recordArrival(performance.now(), held, engines);
   try {
     for (let index = 0; index < options.engines; index++) {
       const engine = await TimedEngine.create(`engine-${index}`, recordArrival);
@@ -147,7 +147,7 @@
     publishRoutes(fleet);
     await delay(SETTLE_MS);
     const statuses = await sendTraffic(fleet, options);
-    const { worst, mostAbove, requests } = ledger;
+    const { worstWindow: worst, maxExcess: mostAbove, requests } = ledger;
     const prefilledTokens = engines.reduce(
       (sum, engine) => sum + engine.prefilledTokens,
       0,
@@ -156,7 +156,7 @@
       ...options,
       requests,
       "worst 5 s": `${worst.above} of ${worst.requests}`,
-      part: Number(getPart(worst).toFixed(4)),
+      part: Number(getShare(worst).toFixed(4)),
       "most above": Number(mostAbove.toFixed(1)),
       "tokens read": prefilledTokens,
       statuses: JSON.stringify(statuses),
--- a/tools/bench_policies.ts
+++ b/tools/bench_policies.ts
@@ -44,7 +44,7 @@
     await delay(RUN_MS / 4);
   },
   "one engine slow": async (fleet) => {
-    fleet.engines[3]!.slowness = 6;
+    fleet.engines[3]!.slowdownFactor = 6;
     await delay(RUN_MS);
   },
 };
--- a/tools/faults.ts
+++ b/tools/faults.ts
@@ -98,7 +98,7 @@
 
 async function disruptPlatform(fleet: Fleet, random: Random): Promise<string> {
   const mode = random.pick(["down", "stale"] as const);
-  fleet.platform.freezeStale();
+  fleet.platform.pinStaleValues();
   fleet.platform.setMode(mode);
   await delay(random.integer(500, 5_000));
   fleet.platform.setMode("up");
--- a/tools/fleet.ts
+++ b/tools/fleet.ts
@@ -115,7 +115,7 @@
         this.routers.map((router) => router.id),
         hosts,
       );
-      this.platform.viewFor = (reader, list) =>
+      this.platform.selectHostsFor = (reader, list) =>
         this.proxyMesh.replaceWithProxyPorts(reader, list);
     }
     this.platform.publishHosts(hosts);
--- a/tools/load.ts
+++ b/tools/load.ts
@@ -1,5 +1,5 @@
 import { setTimeout as delay } from "node:timers/promises";
-import { getWholeText } from "../fakes/answer_text.ts";
+import { getFullText } from "../fakes/answer_text.ts";
 import { Random } from "../src/random/random.ts";
 import { Caller, type ReceivedResponse } from "./caller.ts";
 
@@ -151,7 +151,7 @@
     }
     result.completeChats += 1;
     result.chatDurationsMs.push(performance.now() - startedAt);
-    if (reply.text !== getWholeText(messages.at(-1)!, tokens)) {
+    if (reply.text !== getFullText(messages.at(-1)!, tokens)) {
       result.mismatchedChats += 1;
     }
     return reply.text;
--- a/tools/timed_engine.ts
+++ b/tools/timed_engine.ts
@@ -40,7 +40,7 @@
 
   /** Tokens of shared prompts that were not in the engine's cache and had to be prefilled. */
   get prefilledTokens(): number {
-    return this.timing.readTokens;
+    return this.timing.prefilledTokens;
   }
 
   /** Builds the engine's entry in the metadata store.
@@ -69,9 +69,9 @@
     this.held += 1;
     response.once("close", () => this.held -= 1);
     const { prompt, tokens } = parseSharedPrompt(request);
-    await delay(this.timing.read(prompt, tokens, performance.now()));
+    await delay(this.timing.prefill(prompt, tokens, performance.now()));
     response.writeHead(200, {
-      ...this.worker.prove(request),
+      ...this.worker.buildSealHeaders(request),
       "content-type": "text/event-stream",
       "x-beechkeel-server-load": `${this.held},0,${SLOTS}`,
     });
@@ -82,7 +82,7 @@
     events: number,
     response: ServerResponse,
   ): Promise<void> {
-    let remainingMs = this.timing.getEventsMs(events, this.held);
+    let remainingMs = this.timing.getDecodeMs(events, this.held);
     for (let event = 1; !response.destroyed; event++) {
       response.write(`id: ${event}\ndata: event\n\n`);
       if (remainingMs <= 0) break;
