--- a/soak/seed_result.ts
+++ b/soak/seed_result.ts
@@ -45,7 +45,7 @@
       isMentioned(requestId, breaches)
     ),
     logs: Object.fromEntries(
-      fleet.gateways.map((gateway) => [gateway.id, gateway.program.log]),
+      fleet.gateways.map((gateway) => [gateway.id, gateway.program.logLines]),
     ),
   };
 }
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -5,7 +5,7 @@
 import { FakeStore } from "../fakes/fake_store.ts";
 import type { FaultProxy } from "../fakes/fault_proxy.ts";
 import { Random } from "../src/random/random.ts";
-import { BUNDLED_PROGRAM } from "../tools/program_process.ts";
+import { BUNDLE_COMMAND } from "../tools/program_process.ts";
 import {
   type CallerAttempt,
   KIND_RULES,
@@ -200,7 +200,7 @@
         seeds: [firstIp!],
         storePort: this.store.port,
         folder: this.folder,
-        program: this.options.program ?? BUNDLED_PROGRAM,
+        program: this.options.program ?? BUNDLE_COMMAND,
       }),
     );
   }
--- a/tests/owner/load_table_test.ts
+++ b/tests/owner/load_table_test.ts
@@ -2,7 +2,7 @@
 import { hashText } from "../../src/hashing/hasher.ts";
 import { chooseMean, computeCap } from "../../src/owner/load_bound.ts";
 import { LoadTable, UNREACHABLE_LOAD } from "../../src/owner/load_table.ts";
-import { auditBound } from "../../tools/bound_audit.ts";
+import { auditLoadBound } from "../../tools/bound_audit.ts";
 
 /** Load bound guaranteed by the default settings, and the maximum age of a mean; as in the tests with real
  * processes. */
@@ -52,7 +52,7 @@
       );
       return [...ledger, ...arrivals];
     });
-    const report = auditBound(ledgers, GUARANTEE);
+    const report = auditLoadBound(ledgers, GUARANTEE);
     t.is(report.violations, 0, `decided at ${decidedAt} ms`);
   }
 });
--- a/tests/platform/signals_test.ts
+++ b/tests/platform/signals_test.ts
@@ -36,7 +36,7 @@
     program.signal("SIGTERM");
     await waitUntil(
       "the graceful stop has started",
-      () => program.log.some((line) => line.includes("stop_started")),
+      () => program.logLines.some((line) => line.includes("stop_started")),
     );
     program.signal("SIGTERM");
     t.is(await program.waitForExit(), 0);
--- a/tests/system/bound_test.ts
+++ b/tests/system/bound_test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import { FakeEngine } from "../../fakes/fake_engine.ts";
-import { auditBound } from "../../tools/bound_audit.ts";
+import { auditLoadBound } from "../../tools/bound_audit.ts";
 import type { Fleet } from "../../tools/fleet.ts";
-import { LoadGenerator, type LoadOptions } from "../../tools/load.ts";
+import { LoadGenerator, type LoadOptions } from "../../tools/load_generator.ts";
 import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
@@ -93,7 +93,7 @@
       await inject(fleet);
       await waitForRuns(fleet, 100);
       const result = await load.stop();
-      const report = auditBound(fleet.getEngineLoadHistories(), LOAD_BOUND);
+      const report = auditLoadBound(fleet.getEngineLoadHistories(), LOAD_BOUND);
       t.is(report.violations, 0, JSON.stringify(report));
       t.is(result.mismatchedChats, 0);
     });
--- a/tests/system/drain_test.ts
+++ b/tests/system/drain_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
-import { LoadGenerator } from "../../tools/load.ts";
-import { findInvariantViolations } from "../../tools/verdict.ts";
+import { LoadGenerator } from "../../tools/load_generator.ts";
+import { findInvariantViolations } from "../../tools/invariant_checks.ts";
 import { withFleet } from "./with_fleet.ts";
 
 test.serial("a rolling planned stop of every router cuts off nothing and refuses nothing", async (t) => {
--- a/tests/system/leaving_test.ts
+++ b/tests/system/leaving_upstream_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { LoadGenerator } from "../../tools/load.ts";
+import { LoadGenerator } from "../../tools/load_generator.ts";
 import type { Fleet } from "../../tools/fleet.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
--- a/tests/system/unexecuted_request_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
-import { findInvariantViolations } from "../../tools/verdict.ts";
-import type { BookingRecord } from "../../tools/load.ts";
+import { findInvariantViolations } from "../../tools/invariant_checks.ts";
+import type { BookingRecord } from "../../tools/load_generator.ts";
 import type { RouterStatus } from "../../src/router/router_status.ts";
 import type { RouterProcess } from "../../tools/router_process.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
--- a/tests/tools/prompt_losses_test.ts
+++ b/tests/tools/prompt_cache_misses_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { parseLogLine } from "../../tools/log_line.ts";
-import { PromptCacheMisses } from "../../tools/prompt_losses.ts";
+import { PromptCacheMisses } from "../../tools/prompt_cache_misses.ts";
 
 const ENGINES = ["e-0", "e-1", "e-2"];
 
--- a/tools/bench_policies.ts
+++ b/tools/bench_policies.ts
@@ -2,9 +2,9 @@
 import { FakeEngine } from "../fakes/fake_engine.ts";
 import type { LedgerRun } from "../fakes/ledger.ts";
 import { POLICIES, type PolicyName } from "../src/placement/policies.ts";
-import { auditBound } from "./bound_audit.ts";
+import { auditLoadBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator } from "./load.ts";
+import { LoadGenerator } from "./load_generator.ts";
 
 const RUN_MS = 6_000;
 const ENGINES = 10;
@@ -97,7 +97,7 @@
       condition,
       policy,
       reuse: measureCacheReuse(runs),
-      skewP99: auditBound(fleet.getEngineLoadHistories(), {
+      skewP99: auditLoadBound(fleet.getEngineLoadHistories(), {
         multiple: 2,
         minimum: 4,
         lagMs: 2_000,
--- a/tools/bound_audit.ts
+++ b/tools/bound_audit.ts
@@ -36,7 +36,7 @@
 /** Checks at every start of a request whether the engine's load exceeded a multiple of the mean load.
  * @param pool For each engine of the pool, the time and the requests in flight at each change.
  * @param rule Load bound to check. */
-export function auditBound(
+export function auditLoadBound(
   pool: readonly (readonly [number, number][])[],
   rule: LoadBoundRule,
 ): LoadBoundReport {
--- a/tools/chaos.ts
+++ b/tools/chaos.ts
@@ -2,11 +2,11 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { command, number, option, run } from "cmd-ts";
 import { Random } from "../src/random/random.ts";
-import { auditBound } from "./bound_audit.ts";
+import { auditLoadBound } from "./bound_audit.ts";
 import { FAULTS } from "./faults.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator, type LoadResult } from "./load.ts";
-import { findInvariantViolations } from "./verdict.ts";
+import { LoadGenerator, type LoadResult } from "./load_generator.ts";
+import { findInvariantViolations } from "./invariant_checks.ts";
 
 /** Number of concurrent fault injectors; more than one, so that faults overlap. */
 const CONCURRENT_FAULTS = 2;
@@ -86,7 +86,7 @@
     ...findInvariantViolations(result, serviceRuns),
     ...faults.revisionRegressions,
   ];
-  const bound = auditBound(fleet.getEngineLoadHistories(), {
+  const bound = auditLoadBound(fleet.getEngineLoadHistories(), {
     multiple: 2,
     minimum: 4,
     lagMs: 2_000,
--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -1,9 +1,9 @@
 import process from "node:process";
 import { setTimeout as delay } from "node:timers/promises";
-import { auditBound } from "./bound_audit.ts";
+import { auditLoadBound } from "./bound_audit.ts";
 import { Fleet } from "./fleet.ts";
-import { LoadGenerator, type LoadResult } from "./load.ts";
-import { findInvariantViolations } from "./verdict.ts";
+import { LoadGenerator, type LoadResult } from "./load_generator.ts";
+import { findInvariantViolations } from "./invariant_checks.ts";
 
 const SEED = 42;
 const PHASE_MS = 5_000;
@@ -19,7 +19,7 @@
   const serviceRuns = fleet.services.flatMap((service) => service.ledger.runs);
   const prompt = engineRuns.reduce((sum, run) => sum + run.promptTokens, 0);
   const cached = engineRuns.reduce((sum, run) => sum + run.cachedTokens, 0);
-  const bound = auditBound(fleet.getEngineLoadHistories(), {
+  const bound = auditLoadBound(fleet.getEngineLoadHistories(), {
     multiple: 2,
     minimum: 4,
     lagMs: 2_000,
--- a/tools/verdict.ts
+++ b/tools/invariant_checks.ts
@@ -1,5 +1,5 @@
 import type { LedgerRun } from "../fakes/ledger.ts";
-import type { BookingRecord, LoadResult } from "./load.ts";
+import type { BookingRecord, LoadResult } from "./load_generator.ts";
 
 /** Compares the responses that callers received with the ledgers of the fake upstreams; returns a line for each
  * violation of an invariant. */
--- a/tools/losses.ts
+++ b/tools/losses.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from "node:fs";
 import process from "node:process";
 import { type LogLine, parseLogLine } from "./log_line.ts";
-import { PromptCacheMisses } from "./prompt_losses.ts";
+import { PromptCacheMisses } from "./prompt_cache_misses.ts";
 
 const path = process.argv[2];
 if (path === undefined) {
--- a/tools/program_process.ts
+++ b/tools/program_process.ts
@@ -3,7 +3,7 @@
 import { BUNDLE_PATH } from "./bundle_path.ts";
 
 /** Command that runs the bundled program. */
-export const BUNDLED_PROGRAM: readonly [string, ...string[]] = [
+export const BUNDLE_COMMAND: readonly [string, ...string[]] = [
   process.execPath,
   BUNDLE_PATH,
 ];
@@ -11,7 +11,7 @@
 /** A restartable child process that runs the program. */
 export class ProgramProcess {
   /** Lines that the process wrote to standard output and standard error, over all its starts. */
-  readonly log: string[] = [];
+  readonly logLines: string[] = [];
   private isRunning = false;
   private child: ChildProcess | undefined;
   private exited: Promise<number | null> = Promise.resolve(null);
@@ -52,7 +52,7 @@
     for (const stream of [child.stdout, child.stderr]) {
       stream.setEncoding("utf8").on(
         "data",
-        (text: string) => this.log.push(...text.trimEnd().split("\n")),
+        (text: string) => this.logLines.push(...text.trimEnd().split("\n")),
       );
     }
     this.exited = new Promise((resolve) => {
--- a/tools/router_process.ts
+++ b/tools/router_process.ts
@@ -1,7 +1,7 @@
 import { writeFileSync } from "node:fs";
 import { request } from "undici";
 import type { RouterStatus } from "../src/router/router_status.ts";
-import { BUNDLED_PROGRAM, ProgramProcess } from "./program_process.ts";
+import { BUNDLE_COMMAND, ProgramProcess } from "./program_process.ts";
 
 const POLL_INTERVAL_MS = 30;
 
@@ -21,7 +21,7 @@
   static create(
     settings: { id: string; http: { port: number }; peer: { port: number } },
     folder: string,
-    command: readonly [string, ...string[]] = BUNDLED_PROGRAM,
+    command: readonly [string, ...string[]] = BUNDLE_COMMAND,
   ): RouterProcess {
     const { id, http, peer } = settings;
     const path = `${folder}/${id}.json`;
@@ -32,7 +32,7 @@
 
   /** Lines that the process wrote to standard output and standard error. */
   get logLines(): string[] {
-    return this.program.log;
+    return this.program.logLines;
   }
 
   /** Address on which the router accepts requests from callers. */
