--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -48,7 +48,7 @@
 
   /** Registers a listener for wall clock jumps; returns a function that removes it.
    * @param listener The listener. */
-  watch(listener: JumpListener): () => void {
+  onJump(listener: JumpListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
@@ -69,6 +69,6 @@
 
 /** Registers a listener for wall clock jumps; returns a function that removes it.
  * @param listener The listener. */
-export function watchClock(listener: JumpListener): () => void {
-  return processClock.watch(listener);
+export function onClockJump(listener: JumpListener): () => void {
+  return processClock.onJump(listener);
 }
--- a/src/clock/pause_guard.ts
+++ b/src/clock/pause_detector.ts
@@ -3,7 +3,7 @@
 const TICK_INTERVAL_MS = 50;
 
 /** Detects that this process was paused or its machine suspended, so that no decision is based on stale state. */
-export class PauseGuard {
+export class PauseDetector {
   private lastTick = readClock();
   private stale = false;
   private readonly timer: NodeJS.Timeout;
@@ -21,8 +21,8 @@
   static create(
     thresholdMs: number,
     onPause: (gapMs: number) => void,
-  ): PauseGuard {
-    return new PauseGuard(thresholdMs, onPause);
+  ): PauseDetector {
+    return new PauseDetector(thresholdMs, onPause);
   }
 
   /** Whether the process has run without a pause since its state was last marked fresh. */
@@ -32,7 +32,7 @@
   }
 
   /** Marks state as fresh again, for instance after a response from a peer. */
-  markHeard(): void {
+  markFresh(): void {
     this.tick();
     this.stale = false;
   }
--- a/src/clock/timeline.ts
+++ b/src/clock/timeline.ts
@@ -1,7 +1,7 @@
 import { readClock } from "./clock.ts";
 
 /** Cancels a timer. */
-export type StopTimer = () => void;
+export type CancelTimer = () => void;
 
 /** Time source and timers of a component; tests replace it with virtual time. */
 export interface Timeline {
@@ -10,11 +10,11 @@
   /** Runs an action repeatedly.
    * @param intervalMs Time between two runs, in milliseconds.
    * @param action The action. */
-  every(intervalMs: number, action: () => void): StopTimer;
+  every(intervalMs: number, action: () => void): CancelTimer;
   /** Runs an action once, after a delay.
    * @param delayMs The delay in milliseconds.
    * @param action The action. */
-  after(delayMs: number, action: () => void): StopTimer;
+  after(delayMs: number, action: () => void): CancelTimer;
 }
 
 /** Clock and timers of this process. */
--- a/src/configuration/validate_document.ts
+++ b/src/configuration/validate_document.ts
@@ -1,5 +1,5 @@
 import { Err, Ok, type Result } from "ts-results-es";
-import { describeIssues } from "../settings/describe_issues.ts";
+import { formatIssues } from "../settings/format_issues.ts";
 import {
   type ConfigurationDocument,
   documentSchema,
@@ -38,7 +38,7 @@
     ]);
   }
   const checked = documentSchema.safeParse(published.value);
-  if (!checked.success) return Err(describeIssues(checked.error, "document"));
+  if (!checked.success) return Err(formatIssues(checked.error, "document"));
   return checkAgainstKey(checked.data, partner, name, kind);
 }
 
--- a/src/entry/chat_handler.ts
+++ b/src/entry/chat_handler.ts
@@ -1,7 +1,7 @@
 import { v4 as createUuid } from "uuid";
 import { Failure } from "../errors/failure.ts";
 import { hashText } from "../hashing/hasher.ts";
-import { describeIssues } from "../settings/describe_issues.ts";
+import { formatIssues } from "../settings/format_issues.ts";
 import {
   assertServing,
   getCustomerOrThrow,
@@ -109,7 +109,7 @@
   if (!checked.success) {
     throw Failure.create(
       "malformed_request",
-      describeIssues(checked.error, "body").join("; "),
+      formatIssues(checked.error, "body").join("; "),
     );
   }
   return checked.data;
--- a/src/entry/dispatch_progress.ts
+++ b/src/entry/dispatch_progress.ts
@@ -1,4 +1,4 @@
-import { ANSWER_TABLE } from "../errors/answer_table.ts";
+import { ERROR_RESPONSES } from "../errors/error_responses.ts";
 import type { ErrorKind } from "../errors/error_kind.ts";
 import { Failure } from "../errors/failure.ts";
 import { fingerprintRequest } from "../hashing/request_fingerprint.ts";
@@ -116,7 +116,7 @@
   retryAfterMs?: number,
 ): DispatchResult {
   const mayHaveStarted = mayHaveRun(progress);
-  const assertsNotRun = ANSWER_TABLE[kind].ran === "no";
+  const assertsNotRun = ERROR_RESPONSES[kind].ran === "no";
   const actualKind = mayHaveStarted && assertsNotRun
     ? toInconclusiveKind(progress, kind)
     : kind;
--- a/src/errors/answer_table.ts
+++ b/src/errors/error_responses.ts
@@ -16,7 +16,7 @@
 }
 
 /** Error response for each error kind; every error that the system returns is listed here. */
-export const ANSWER_TABLE: Readonly<Record<ErrorKind, ErrorResponse>> = {
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   malformed_request: {
     status: 400,
     message: "The request is not well formed.",
--- a/src/errors/failure.ts
+++ b/src/errors/failure.ts
@@ -1,4 +1,4 @@
-import { ANSWER_TABLE, type ExecutionStatus } from "./answer_table.ts";
+import { ERROR_RESPONSES, type ExecutionStatus } from "./error_responses.ts";
 import type { ErrorKind } from "./error_kind.ts";
 
 /** JSON body of an error response. */
@@ -33,7 +33,7 @@
     retryAfterMs?: number,
   ): Failure {
     const seconds = retryAfterMs === undefined
-      ? ANSWER_TABLE[kind].retryAfterSeconds
+      ? ERROR_RESPONSES[kind].retryAfterSeconds
       : Math.ceil(retryAfterMs) / 1_000;
     return new Failure(kind, detail, seconds);
   }
@@ -50,12 +50,12 @@
 
   /** HTTP status code for the error kind. */
   get status(): number {
-    return ANSWER_TABLE[this.kind].status;
+    return ERROR_RESPONSES[this.kind].status;
   }
 
   /** Whether the request was executed, for the error kind. */
   get ran(): ExecutionStatus {
-    return ANSWER_TABLE[this.kind].ran;
+    return ERROR_RESPONSES[this.kind].ran;
   }
 
   /** Response headers: the error kind, whether the request was executed, and `Retry-After` if a retry makes sense. */
@@ -72,7 +72,7 @@
 
   /** JSON body of the error response. */
   get body(): FailureBody {
-    const { message, ran } = ANSWER_TABLE[this.kind];
+    const { message, ran } = ERROR_RESPONSES[this.kind];
     return { error: { kind: this.kind, message, detail: this.detail, ran } };
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,5 +1,5 @@
 import { CrashGuard } from "../crashes/crash_guard.ts";
-import { watchClock } from "../clock/clock.ts";
+import { onClockJump } from "../clock/clock.ts";
 import type { HeaderCodec } from "../forward/caller_headers.ts";
 import { formatFingerprint } from "../hashing/request_fingerprint.ts";
 import { CallServer } from "../forward/call_server.ts";
@@ -56,7 +56,7 @@
   private watch: PublicationWatch | undefined;
   private endpoints: GatewayEndpoints | undefined;
   private server: CallServer | undefined;
-  private readonly stopClockWatch = watchClock((jumpMs) => {
+  private readonly stopClockWatch = onClockJump((jumpMs) => {
     const { ageMs } = this.published;
     this.logger.warn({ jumpMs, ageMs: Math.round(ageMs) }, "time_jumped");
   });
--- a/src/http/read_retry_after.ts
+++ b/src/http/parse_retry_after.ts
@@ -9,7 +9,7 @@
  * the clocks of the two machines need not agree.
  * @param retryAfter Value of the `Retry-After` header.
  * @param date Value of the `Date` header. */
-export function readRetryAfter(
+export function parseRetryAfter(
   retryAfter: HeaderValue,
   date: HeaderValue,
 ): number | undefined {
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,6 +1,6 @@
 import { readClock } from "../clock/clock.ts";
 import { Actor, type ActorSystem } from "../actors/actor.ts";
-import type { PauseGuard } from "../clock/pause_guard.ts";
+import type { PauseDetector } from "../clock/pause_detector.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { PeerAuthenticator } from "../peer/peer_authenticator.ts";
 import type { HostList } from "../configuration_service/host_schema.ts";
@@ -21,7 +21,7 @@
   settings: Settings;
   system: ActorSystem;
   authenticator: PeerAuthenticator;
-  guard: PauseGuard;
+  guard: PauseDetector;
   logger: Logger;
   /** Returns digest and revision of this router's configuration. */
   getConfiguration: () => { digest: number; revision: number };
@@ -204,7 +204,7 @@
 
   private acknowledge(id: string, nonce: number): void {
     this.options.guard.isFresh();
-    if (this.prober.acknowledge(id, nonce)) this.options.guard.markHeard();
+    if (this.prober.acknowledge(id, nonce)) this.options.guard.markFresh();
   }
 
   /** Probes a member on behalf of another router and sends it the member's state if the member answers. */
@@ -242,7 +242,7 @@
     this.options.guard.isFresh();
     this.table.expireSuspicions(readClock());
     if (this.table.getMembers().every((member) => member.status !== "alive")) {
-      this.options.guard.markHeard();
+      this.options.guard.markFresh();
     }
     for (
       let count = 0;
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -1,6 +1,6 @@
 import {
+  type CancelTimer,
   processTimeline,
-  type StopTimer,
   type Timeline,
 } from "../clock/timeline.ts";
 
@@ -16,7 +16,7 @@
 
 interface PendingProbe {
   target: string;
-  stopTimer: StopTimer;
+  stopTimer: CancelTimer;
   onAcknowledged: (() => void) | undefined;
 }
 
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -1,4 +1,4 @@
-import type { PauseGuard } from "../clock/pause_guard.ts";
+import type { PauseDetector } from "../clock/pause_detector.ts";
 import type { Timeline } from "../clock/timeline.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { FramePort } from "../peer/frame_port.ts";
@@ -28,7 +28,7 @@
 /** Dependencies of the scheduler. */
 export interface JobSchedulerOptions {
   registry: UpstreamRegistry;
-  guard: Pick<PauseGuard, "isFresh">;
+  guard: Pick<PauseDetector, "isFresh">;
   logger: Logger;
   timeline: Timeline;
   streamWindowBytes: number;
--- a/src/owner/owner_options.ts
+++ b/src/owner/owner_options.ts
@@ -1,6 +1,6 @@
 import type { ActorSystem } from "../actors/actor.ts";
 import type { AuditTrail } from "../audit/audit_trail.ts";
-import type { PauseGuard } from "../clock/pause_guard.ts";
+import type { PauseDetector } from "../clock/pause_detector.ts";
 import type { Logger } from "../logging/logger.ts";
 import type { FleetView } from "../membership/fleet_view.ts";
 import type { PlacementTable } from "../placement/placement_table.ts";
@@ -11,7 +11,7 @@
 export interface OwnerOptions {
   settings: Settings;
   system: ActorSystem;
-  guard: PauseGuard;
+  guard: PauseDetector;
   logger: Logger;
   audit: AuditTrail;
   loads: LoadTable;
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -1,6 +1,6 @@
 import {
+  type CancelTimer,
   processTimeline,
-  type StopTimer,
   type Timeline,
 } from "../clock/timeline.ts";
 import type { Logger } from "../logging/logger.ts";
@@ -87,8 +87,8 @@
   private readonly receiver: RumourReceiver;
   private readonly composer: GossipComposer;
   private readonly livenessLogger: LivenessLogger;
-  private readonly stopRounds: StopTimer;
-  private stopAnnouncement: StopTimer | undefined;
+  private readonly stopRounds: CancelTimer;
+  private stopAnnouncement: CancelTimer | undefined;
   private round = 0;
   private lastRoundAt: number;
 
--- a/src/peers/publication_status_poller.ts
+++ b/src/peers/publication_status_poller.ts
@@ -1,6 +1,6 @@
 import {
+  type CancelTimer,
   processTimeline,
-  type StopTimer,
   type Timeline,
 } from "../clock/timeline.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
@@ -32,7 +32,7 @@
  * is. */
 export class PublicationStatusPoller {
   private readonly timeline: Timeline;
-  private readonly stopPolling: StopTimer;
+  private readonly stopPolling: CancelTimer;
   private pollCount = 0;
 
   private constructor(
--- a/src/peers/rumour_disseminator.ts
+++ b/src/peers/rumour_disseminator.ts
@@ -1,4 +1,4 @@
-import type { StopTimer, Timeline } from "../clock/timeline.ts";
+import type { CancelTimer, Timeline } from "../clock/timeline.ts";
 import { RumourQueue } from "../membership/rumour_queue.ts";
 import type { DatagramPort } from "./datagram_socket.ts";
 import type { GossipTargets } from "./gossip_targets.ts";
@@ -24,7 +24,7 @@
  * next round after a change. */
 export class RumourDisseminator {
   private readonly queue = RumourQueue.create<number>();
-  private stopTimer: StopTimer | undefined;
+  private stopTimer: CancelTimer | undefined;
 
   private constructor(private readonly options: RumourDisseminatorOptions) {}
 
--- a/src/polling/poll_loop.ts
+++ b/src/polling/poll_loop.ts
@@ -2,20 +2,20 @@
 import { Random } from "../random/random.ts";
 
 /** Outcome of one iteration: the poll succeeded or failed, or was skipped because the loop is not active. */
-export type PollTurn = "worked" | "failed" | "idle";
+export type PollOutcome = "worked" | "failed" | "idle";
 
 /** The poll of a loop and its timing. */
 export interface PollLoopOptions {
   /** Sends one request and handles its response; an exception counts as a failure. */
-  step: () => Promise<void>;
+  poll: () => Promise<void>;
   /** Whether this process should poll now; if not, the loop only checks again later. */
   isActive: () => boolean;
   /** Mean delay after an iteration that failed or was idle, in milliseconds; the delay is jittered uniformly between
    * 0.5 and 1.5 times the mean. */
-  getPauseMs: (turn: "failed" | "idle") => number;
+  getDelayMs: (turn: "failed" | "idle") => number;
   /** Called after each iteration, with the error if the poll failed; a failure caused by closing the loop is not
    * passed on. */
-  onTurn: (turn: PollTurn, error?: unknown) => void;
+  onOutcome: (turn: PollOutcome, error?: unknown) => void;
 }
 
 /** Repeats a long poll until the loop is closed. */
@@ -41,18 +41,18 @@
   private async run(): Promise<void> {
     while (!this.abort.signal.aborted) {
       const turn = this.options.isActive() ? await this.tryPoll() : "idle";
-      if (turn === "idle") this.options.onTurn(turn);
-      if (turn !== "worked") await this.pause(this.options.getPauseMs(turn));
+      if (turn === "idle") this.options.onOutcome(turn);
+      if (turn !== "worked") await this.pause(this.options.getDelayMs(turn));
     }
   }
 
   private async tryPoll(): Promise<"worked" | "failed"> {
     try {
-      await this.options.step();
-      this.options.onTurn("worked");
+      await this.options.poll();
+      this.options.onOutcome("worked");
       return "worked";
     } catch (error) {
-      if (!this.abort.signal.aborted) this.options.onTurn("failed", error);
+      if (!this.abort.signal.aborted) this.options.onOutcome("failed", error);
       return "failed";
     }
   }
--- a/src/published/feed_watcher.ts
+++ b/src/published/feed_watcher.ts
@@ -1,7 +1,7 @@
 import { readClock } from "../clock/clock.ts";
 import { setTimeout as delay } from "node:timers/promises";
 import type { Logger } from "../logging/logger.ts";
-import { PollLoop, type PollTurn } from "../polling/poll_loop.ts";
+import { PollLoop, type PollOutcome } from "../polling/poll_loop.ts";
 import { FeedError } from "./feed_error.ts";
 import type { PublicationFeed } from "./publication_feed.ts";
 import type { PublicationReplica } from "./publication_replica.ts";
@@ -32,11 +32,11 @@
 
   private constructor(private readonly options: FeedWatcherOptions) {
     this.loop = PollLoop.create({
-      step: () => this.poll(),
+      poll: () => this.poll(),
       isActive: options.shouldWatch,
-      getPauseMs: (turn) =>
+      getDelayMs: (turn) =>
         turn === "idle" ? options.idleCheckMs : options.getRetryMs(),
-      onTurn: (turn, error) => this.handleTurn(turn, error),
+      onOutcome: (turn, error) => this.handleTurn(turn, error),
     });
   }
 
@@ -51,7 +51,7 @@
     this.loop.close();
   }
 
-  private handleTurn(turn: PollTurn, error: unknown): void {
+  private handleTurn(turn: PollOutcome, error: unknown): void {
     if (turn === "idle") this.revision = undefined;
     if (turn === "worked") this.recordSuccess();
     if (turn === "failed") this.recordFailure(error);
--- a/src/router/platform_watcher.ts
+++ b/src/router/platform_watcher.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "../logging/logger.ts";
 import type { Membership } from "../membership/membership.ts";
 import { PlatformClient } from "../configuration_service/platform_client.ts";
-import { PollLoop, type PollTurn } from "../polling/poll_loop.ts";
+import { PollLoop, type PollOutcome } from "../polling/poll_loop.ts";
 import type { Settings } from "../settings/settings_schema.ts";
 
 /** Interval at which the set of routers of a hall that watch the platform changes. */
@@ -32,18 +32,18 @@
     this.client = PlatformClient.create(url);
     const commonOptions = {
       isActive: () => this.isWatcher(),
-      getPauseMs: () => retryMs,
+      getDelayMs: () => retryMs,
     };
     this.loops = [
       PollLoop.create({
         ...commonOptions,
-        step: () => this.readDocuments(this.hasReadDocuments ? watchMs : 0),
-        onTurn: (turn) => this.logReachability("documents", turn),
+        poll: () => this.readDocuments(this.hasReadDocuments ? watchMs : 0),
+        onOutcome: (turn) => this.logReachability("documents", turn),
       }),
       PollLoop.create({
         ...commonOptions,
-        step: () => this.readHosts(this.version === 0 ? 0 : watchMs),
-        onTurn: (turn) => this.logReachability("hosts", turn),
+        poll: () => this.readHosts(this.version === 0 ? 0 : watchMs),
+        onOutcome: (turn) => this.logReachability("hosts", turn),
       }),
     ];
   }
@@ -98,7 +98,10 @@
   }
 
   /** Logs when a source becomes unreachable or reachable again. */
-  private logReachability(what: "documents" | "hosts", turn: PollTurn): void {
+  private logReachability(
+    what: "documents" | "hosts",
+    turn: PollOutcome,
+  ): void {
     const hasFailed = turn === "failed";
     if (turn === "idle" || hasFailed === this.failedSources.has(what)) return;
     if (hasFailed) this.failedSources.add(what);
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -6,13 +6,13 @@
   stopActorSystem,
 } from "../actors/actor.ts";
 import { AuditTrail } from "../audit/audit_trail.ts";
-import { PauseGuard } from "../clock/pause_guard.ts";
+import { PauseDetector } from "../clock/pause_detector.ts";
 import { ConfigurationReplica } from "../configuration/configuration_replica.ts";
 import { CallerServer } from "../entry/caller_server.ts";
 import { Dispatcher } from "../entry/dispatcher.ts";
 import type { RouterPhase } from "../entry/entry_context.ts";
 import { OutcomeStore } from "../entry/outcome_store.ts";
-import { getOrThrow } from "../errors/checks.ts";
+import { getOrThrow } from "../errors/get_or_throw.ts";
 import { createLogger, type Logger } from "../logging/logger.ts";
 import { FleetView } from "../membership/fleet_view.ts";
 import { Membership } from "../membership/membership.ts";
@@ -50,7 +50,7 @@
   private readonly metrics: Metrics;
   private readonly audit: AuditTrail;
   private readonly system: ActorSystem = startActorSystem();
-  private readonly pauseGuard: PauseGuard;
+  private readonly pauseGuard: PauseDetector;
   private readonly authenticator: PeerAuthenticator;
   private readonly loads = LoadTable.create();
   /** @internal */
@@ -82,7 +82,7 @@
     this.outcomes = OutcomeStore.create(settings.keys.rememberMs, MAX_OUTCOMES);
     this.view = FleetView.create(settings.id, 0, [], []);
     this.placement = PlacementTable.create(this.view, settings.region);
-    this.pauseGuard = PauseGuard.create(
+    this.pauseGuard = PauseDetector.create(
       settings.membership.pauseThresholdMs,
       (gapMs) => this.handlePause(gapMs),
     );
--- a/src/settings/load_settings.ts
+++ b/src/settings/load_settings.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 import { Err, Ok, type Result } from "ts-results-es";
-import { describeIssues } from "./describe_issues.ts";
+import { formatIssues } from "./format_issues.ts";
 import { type Settings, settingsSchema } from "./settings_schema.ts";
 
 /** Parses settings from JSON text.
@@ -16,7 +16,7 @@
   const parsed = settingsSchema.safeParse(value);
   return parsed.success
     ? Ok(parsed.data)
-    : Err(describeIssues(parsed.error, "settings"));
+    : Err(formatIssues(parsed.error, "settings"));
 }
 
 /** Reads and validates a settings file.
--- a/src/upstreams/read_availability_notice.ts
+++ b/src/upstreams/read_availability_notice.ts
@@ -1,4 +1,7 @@
-import { type HeaderValue, readRetryAfter } from "../http/read_retry_after.ts";
+import {
+  type HeaderValue,
+  parseRetryAfter,
+} from "../http/parse_retry_after.ts";
 import type { AvailabilityNotice } from "./availability_notice.ts";
 
 /** Status codes with which an upstream declines a request. */
@@ -23,7 +26,7 @@
   const values = [headers[leaving.name] ?? []].flat();
   return {
     backoffMs: DECLINE_STATUS_CODES.has(status)
-      ? readRetryAfter(headers["retry-after"], headers["date"])
+      ? parseRetryAfter(headers["retry-after"], headers["date"])
       : undefined,
     isLeaving: values.some((value) => value.trim() === leaving.value),
   };
--- a/tests/clock/clock_test.ts
+++ b/tests/clock/clock_test.ts
@@ -10,7 +10,7 @@
   const time = { monotonic: 1_000, wallClock: START_UNIX_MS };
   const clock = Clock.create(() => time.monotonic, () => time.wallClock);
   const jumps: number[] = [];
-  clock.watch((jumpMs) => jumps.push(jumpMs));
+  clock.onJump((jumpMs) => jumps.push(jumpMs));
   const advance = (milliseconds: number) => {
     time.monotonic += milliseconds;
     time.wallClock += milliseconds;
--- a/tests/clock/pause_guard_test.ts
+++ b/tests/clock/pause_detector_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { PauseGuard } from "../../src/clock/pause_guard.ts";
+import { PauseDetector } from "../../src/clock/pause_detector.ts";
 
 const GAP_MS = 5_000;
 /** Resolution of the wall clock, in milliseconds. */
@@ -8,14 +8,14 @@
 test.serial("a suspension is detected although the monotonic clock stopped", (t) => {
   const readWallClock = Date.now;
   const gaps: number[] = [];
-  const detector = PauseGuard.create(1_000, (gapMs) => gaps.push(gapMs));
+  const detector = PauseDetector.create(1_000, (gapMs) => gaps.push(gapMs));
   t.true(detector.isFresh());
   Date.now = () => readWallClock() + GAP_MS;
   try {
     t.false(detector.isFresh());
     t.is(gaps.length, 1);
     t.true(gaps[0]! >= GAP_MS - WALL_CLOCK_RESOLUTION_MS);
-    detector.markHeard();
+    detector.markFresh();
     t.true(detector.isFresh());
   } finally {
     Date.now = readWallClock;
--- a/tests/clock/virtual_timeline.ts
+++ b/tests/clock/virtual_timeline.ts
@@ -1,5 +1,5 @@
 import TinyQueue from "tinyqueue";
-import type { StopTimer, Timeline } from "../../src/clock/timeline.ts";
+import type { CancelTimer, Timeline } from "../../src/clock/timeline.ts";
 
 interface Timer {
   at: number;
@@ -30,7 +30,7 @@
     return this.now;
   }
 
-  after(delayMs: number, action: () => void): StopTimer {
+  after(delayMs: number, action: () => void): CancelTimer {
     this.timerCount += 1;
     const timer = {
       at: this.now + delayMs,
@@ -42,8 +42,8 @@
     return () => void (timer.isStopped = true);
   }
 
-  every(intervalMs: number, action: () => void): StopTimer {
-    let stop: StopTimer;
+  every(intervalMs: number, action: () => void): CancelTimer {
+    let stop: CancelTimer;
     const runAndReschedule = () => {
       stop = this.after(intervalMs, runAndReschedule);
       action();
--- a/tests/owner/owner_test.ts
+++ b/tests/owner/owner_test.ts
@@ -7,7 +7,7 @@
 import test from "ava";
 import { FakeService } from "../../fakes/fake_service.ts";
 import { AuditTrail } from "../../src/audit/audit_trail.ts";
-import { PauseGuard } from "../../src/clock/pause_guard.ts";
+import { PauseDetector } from "../../src/clock/pause_detector.ts";
 import type { Host } from "../../src/configuration_service/host_schema.ts";
 import { LoadTable } from "../../src/owner/load_table.ts";
 import { Owner } from "../../src/owner/owner.ts";
@@ -55,8 +55,8 @@
 function createOwner(upstream: Host) {
   const logger = pino({ level: "silent" });
   let view = buildView(1, upstream, []);
-  const guard = PauseGuard.create(LONGER_THAN_TEST_MS, () => undefined);
-  guard.markHeard();
+  const guard = PauseDetector.create(LONGER_THAN_TEST_MS, () => undefined);
+  guard.markFresh();
   const owner = Owner.create({
     settings: buildSettings(),
     system: start(),
