--- a/tests/system/once_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -13,11 +13,11 @@
   return counts;
 }
 
-function names(fleet: Fleet): string[] {
+function getRouterIds(fleet: Fleet): string[] {
   return fleet.routers.map((router) => router.id);
 }
 
-test.serial("one key sent through all routers at once runs once, and each caller gets the answer", async (t) => {
+test.serial("a key sent through all routers at once runs once, and every key gets a complete response", async (t) => {
   await withFleet(
     { routers: 5, service: { callMs: 50 } },
     async (fleet, caller) => {
@@ -27,25 +27,27 @@
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
         )
       );
-      const answers = await Promise.all(sendings);
+      const responses = await Promise.all(sendings);
       t.true(
         [...countRuns(fleet.services).values()].every((count) => count === 1),
       );
       t.is(
-        answers.filter((answer) => answer.whole).length +
-          answers.filter((a) => a.ran === "unknown").length,
+        responses.filter((response) => response.isComplete).length +
+          responses.filter((response) => response.ran === "unknown").length,
         100,
       );
       for (const key of keys) {
         t.true(
-          answers.some((answer) => answer.whole && answer.text.includes(key)),
+          responses.some((response) =>
+            response.isComplete && response.text.includes(key)
+          ),
         );
       }
     },
   );
 });
 
-test.serial("one key does not run again when the router that ran it is killed in the middle", async (t) => {
+test.serial("a key does not run again when the router that received it is killed while it runs", async (t) => {
   await withFleet(
     { routers: 4, service: { callMs: 600 } },
     async (fleet, caller) => {
@@ -55,7 +57,7 @@
         caller.book({ customer: CUSTOMER, router: first!.address }, key, key)
       );
       await waitUntil(
-        "all to run",
+        "all bookings to run",
         () => countRuns(fleet.services).size === keys.length,
       );
       await first!.kill();
@@ -64,11 +66,13 @@
       await fleet.waitUntilServing();
       for (const router of [first!, ...others]) {
         const options = { customer: CUSTOMER, router: router.address };
-        const answers = await Promise.all(
+        const responses = await Promise.all(
           keys.map((key) => caller.book(options, key, key)),
         );
         t.true(
-          answers.every((answer) => !answer.whole && answer.ran === "unknown"),
+          responses.every((response) =>
+            !response.isComplete && response.ran === "unknown"
+          ),
         );
       }
       t.true(
@@ -78,14 +82,14 @@
   );
 });
 
-test.serial("one key sent to both sides of a parted fleet runs once, and one side runs it", async (t) => {
-  await withFleet({ routers: 5, proxied: true }, async (fleet, caller) => {
-    const ids = names(fleet);
+test.serial("a key sent to both sides of a partitioned fleet runs exactly once", async (t) => {
+  await withFleet({ routers: 5, useProxies: true }, async (fleet, caller) => {
+    const ids = getRouterIds(fleet);
     const [left, right] = [ids.slice(0, 2), ids.slice(2)];
-    fleet.mesh.part(left, right, "freeze");
+    fleet.proxyMesh.part(left, right, "freeze");
     const sides = [fleet.routers[0]!, fleet.routers[4]!];
     const keys = Array.from({ length: 24 }, (_, index) => `key-${index}`);
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       keys.flatMap((key) =>
         sides.map((router) =>
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
@@ -95,19 +99,21 @@
     const counts = countRuns(fleet.services);
     t.true([...counts.values()].every((count) => count === 1));
     t.true(
-      answers.filter((answer) => !answer.whole).every((answer) =>
-        answer.ran === "unknown"
+      responses.filter((response) => !response.isComplete).every((response) =>
+        response.ran === "unknown"
       ),
     );
-    const byKey = keys.map((key) =>
-      answers.some((answer) => answer.whole && answer.text.includes(`"${key}"`))
+    const isDoneByKey = keys.map((key) =>
+      responses.some((response) =>
+        response.isComplete && response.text.includes(`"${key}"`)
+      )
     );
-    t.true(byKey.every((isDone) => isDone));
-    fleet.mesh.part(left, right, "pass");
+    t.true(isDoneByKey.every((isDone) => isDone));
+    fleet.proxyMesh.part(left, right, "pass");
   });
 });
 
-test.serial("one key does not run again after its witnesses are restarted one by one", async (t) => {
+test.serial("a key does not run again after its witnesses are restarted one by one", async (t) => {
   await withFleet({ routers: 4 }, async (fleet, caller) => {
     const keys = Array.from({ length: 10 }, (_, index) => `key-${index}`);
     const entry = fleet.routers[0]!;
--- a/tests/system/not_run_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
-import { findBrokenPromises } from "../../tools/verdict.ts";
+import { findInvariantViolations } from "../../tools/verdict.ts";
 import type { BookingRecord } from "../../tools/load.ts";
 import type { RouterStatus } from "../../src/router/router_status.ts";
 import type { RouterProcess } from "../../tools/router_process.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
 
 const CUSTOMER = "rodar/dispatch";
-/** Longer than the gap that a router notices. */
-const FREEZE_MS = 1_800;
+/** Time for which a router process is paused, in milliseconds; longer than the gap that a router detects as a pause. */
+const PAUSE_MS = 1_800;
 
-test.serial("what is answered as not run is not run by owners that wake up late", async (t) => {
+test.serial("a request reported as not run is not run by a paused owner that resumes later", async (t) => {
   await withFleet(
     { routers: 3, service: { callMs: 20 } },
     async (fleet, caller) => {
@@ -18,32 +18,33 @@
         id: string,
         timeoutMs: number,
       ): Promise<BookingRecord> => {
-        const answer = await caller.book({
+        const response = await caller.book({
           customer: CUSTOMER,
           router: entry!.address,
           timeoutMs,
         }, id);
-        return { id, keyed: false, answers: [answer] };
+        return { id, hasIdempotencyKey: false, responses: [response] };
       };
       const bookings: BookingRecord[] = [];
       for (const router of others) {
         router.signal("SIGSTOP");
-        const wakesAt = Date.now() + FREEZE_MS;
+        const resumesAt = Date.now() + PAUSE_MS;
         const timeouts = Array.from(
           { length: 15 },
           (_, index) => 20 + index * 60,
         );
-        const names = timeouts.map((timeout) => `${router.id}-${timeout}`);
+        const ids = timeouts.map((timeout) => `${router.id}-${timeout}`);
         bookings.push(
           ...await Promise.all(
-            timeouts.map((timeout, index) => book(names[index]!, timeout)),
+            timeouts.map((timeout, index) => book(ids[index]!, timeout)),
           ),
         );
-        await waitUntil("the freeze to last", () => Date.now() > wakesAt);
+        await waitUntil("the end of the pause", () => Date.now() > resumesAt);
         router.signal("SIGCONT");
         await waitUntil(
-          "the owner to notice",
-          () => router.log.some((line) => line.includes("process_was_paused")),
+          "the owner to detect the pause",
+          () =>
+            router.logLines.some((line) => line.includes("process_was_paused")),
         );
         await router.waitFor(
           (status) =>
@@ -52,46 +53,49 @@
         );
       }
       const runs = fleet.services.flatMap((service) => service.ledger.runs);
-      t.deepEqual(findBrokenPromises({ wrongChats: 0, bookings }, runs), []);
-      t.true(bookings.some((booking) => booking.answers[0]!.ran === "no"));
-      t.true(bookings.some((booking) => booking.answers[0]!.whole));
+      t.deepEqual(
+        findInvariantViolations({ mismatchedChats: 0, bookings }, runs),
+        [],
+      );
+      t.true(bookings.some((booking) => booking.responses[0]!.ran === "no"));
+      t.true(bookings.some((booking) => booking.responses[0]!.isComplete));
     },
   );
 });
 
-test.serial("a service that takes the request and says nothing leaves the outcome unknown, after one run", async (t) => {
+test.serial("if a service accepts a request and never responds, the outcome is unknown and the request runs once", async (t) => {
   const settings = { routing: { stallTimeoutMs: 400 } };
   await withFleet({ settings }, async (fleet, caller) => {
     for (const service of fleet.services) service.fault = "silent";
-    const answer = await caller.book({
+    const response = await caller.book({
       customer: CUSTOMER,
       router: fleet.routers[0]!.address,
     }, "shift 1");
-    t.is(answer.kind, "outcome_unknown");
+    t.is(response.kind, "outcome_unknown");
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 1);
   });
 });
 
-test.serial("a request that no upstream took is answered at once as not run, with a time to come back", async (t) => {
+test.serial("a request that no upstream accepted is refused at once as not run, with a time to retry", async (t) => {
   await withFleet({ services: 2 }, async (fleet, caller) => {
     for (const service of fleet.services) await service.close();
-    const answer = await caller.book({
+    const response = await caller.book({
       customer: CUSTOMER,
       router: fleet.routers[0]!.address,
     }, "shift 1");
-    t.is(answer.ran, "no");
-    t.true(Number(answer.retryAfter) > 0);
+    t.is(response.ran, "no");
+    t.true(Number(response.retryAfter) > 0);
     t.is(fleet.services.flatMap((service) => service.ledger.runs).length, 0);
   });
 });
 
-test.serial("what waits at an owner that the entry no longer reaches is answered as not run, and is not", async (t) => {
+test.serial("requests queued at an owner that the entry can no longer reach are reported as not run, and are not run", async (t) => {
   const options = {
     routers: 2,
     engines: 0,
     services: 1,
     slots: 3,
-    proxied: true,
+    useProxies: true,
     service: { callMs: 2_000 },
   };
   await withFleet(options, async (fleet, caller) => {
@@ -116,33 +120,33 @@
     let unanswered = 0;
     const book = async (id: string): Promise<BookingRecord> => {
       unanswered += 1;
-      const answer = await caller.book({
+      const response = await caller.book({
         customer: CUSTOMER,
         router: entry.address,
         timeoutMs: 900,
       }, id);
       unanswered -= 1;
-      return { id, keyed: false, answers: [answer] };
+      return { id, hasIdempotencyKey: false, responses: [response] };
     };
-    // An owner that missed a probe of the other router uses one place of three for a while, longer than callers wait; so
-    // they come again until three run.
-    await waitUntil("three to run", () => {
+    // An owner that missed a probe of the other router uses only one of three slots for longer than the callers'
+    // timeout, so more bookings are sent until three run.
+    await waitUntil("three bookings to run", () => {
       if (runs.length >= 3 || unanswered > 0) return runs.length >= 3;
       for (let count = 0; count < 12; count++) {
         bookings.push(book(`waiting-${bookings.length}`));
       }
       return false;
     });
-    fleet.mesh.part([entry.id], [owner.id], "freeze");
-    const ended = await Promise.all(bookings);
+    fleet.proxyMesh.part([entry.id], [owner.id], "freeze");
+    const records = await Promise.all(bookings);
     await owner.waitFor(
       (status) =>
         status.upstreams.every((one) => one.running + one.waiting === 0),
       "idle",
     );
-    t.true(ended.some((booking) => booking.answers[0]!.ran === "no"));
+    t.true(records.some((booking) => booking.responses[0]!.ran === "no"));
     t.deepEqual(
-      findBrokenPromises({ wrongChats: 0, bookings: ended }, runs),
+      findInvariantViolations({ mismatchedChats: 0, bookings: records }, runs),
       [],
     );
   });
--- a/tools/prompt_losses.ts
+++ b/tools/prompt_losses.ts
@@ -1,62 +1,62 @@
 import type { LogLine } from "./log_line.ts";
 
-/** Time since its last use within which a part that is read again counts, in seconds, as the brief's prices have it. */
-const COUNTED_FOR_SECONDS = 10;
-/** Time for which an engine is taken to keep a part, in seconds, as the gateways take it. */
-const KEPT_FOR_SECONDS = 30;
-/** Time after a broken connection for which a gateway may leave an engine out, in seconds. */
-const BROKEN_FOR_SECONDS = 3;
+/** Time since the last use of a prompt part within which a miss counts, in seconds, as in the pricing of the brief. */
+const REUSE_WINDOW_SECONDS = 10;
+/** Time for which an engine is assumed to keep a prompt part, in seconds; gateways assume the same. */
+const CACHE_RETENTION_SECONDS = 30;
+/** Time after a broken connection for which a gateway may exclude an engine, in seconds. */
+const CONNECTION_FAILURE_WINDOW_SECONDS = 3;
 
-/** What became of the shared parts that the chosen engine lacked. */
-export type PromptFate =
-  /** Another engine that had them was named to fetch from. */
+/** How an engine got the shared prompt parts that its gateway did not take to be in the engine's cache. */
+export type CacheMissOutcome =
+  /** The request named an engine to fetch them from, and that engine had them. */
   | "moved"
-  /** An engine that never had them was named. */
-  | "fetched in vain"
-  /** No engine was named. */
-  | "read"
-  /** The engine had them, and the host did not know. */
-  | "kept, not known";
+  /** The request named an engine to fetch them from that never had them. */
+  | "fetched from wrong engine"
+  /** The request named no engine to fetch them from. */
+  | "recomputed"
+  /** The engine had them, but the host did not know. */
+  | "cached, unknown to host";
 
-/** How the engines that had the parts were when the request went elsewhere. */
-export type HolderState = "sound" | "leaving" | "gone" | "ejected" | "broken";
+/** State of an engine that had the prompt parts when the request was sent to another engine. */
+export type HolderState = "healthy" | "leaving" | "gone" | "ejected" | "broken";
 
-/** Tokens and requests of one fate and state of the holders. */
-export interface PromptLoss {
-  fate: PromptFate;
-  /** States of the holders, each once, in order of name. */
+/** Number of requests and missing tokens with the same outcome and holder states. */
+export interface PromptCacheMiss {
+  outcome: CacheMissOutcome;
+  /** Distinct states of the engines that had the prompt parts, in alphabetical order. */
   holders: string;
   requests: number;
   tokens: number;
 }
 
-/** Follows gateways' log lines, and counts why engines lacked prompts that they were sent. */
-export class PromptLosses {
+/** Counts from gateways' log lines why engines did not have the prompts of their requests in their cache. */
+export class PromptCacheMisses {
   private readonly engineByAddress = new Map<string, string>();
-  private readonly engineState = new Map<string, string>();
-  /** By host and engine, the second up to which the host leaves the engine out. */
-  private readonly ejectedUntil = new Map<string, number>();
-  private readonly brokenAt = new Map<string, number>();
-  /** By part, the engines that were sent it and when. */
-  private readonly holders = new Map<string, Map<string, number>>();
-  private readonly lastUse = new Map<string, number>();
-  private readonly losses = new Map<string, PromptLoss>();
+  private readonly stateByEngine = new Map<string, string>();
+  /** Time in seconds until which a host excludes an engine, by host and engine. */
+  private readonly ejectedUntilByKey = new Map<string, number>();
+  private readonly failedAtByKey = new Map<string, number>();
+  /** Time in seconds at which each engine was last sent a prompt part, by part and engine. */
+  private readonly holdersByPart = new Map<string, Map<string, number>>();
+  private readonly lastUseByPart = new Map<string, number>();
+  private readonly misses = new Map<string, PromptCacheMiss>();
 
   private constructor() {}
 
-  /** Creates a count of nothing. */
-  static create(): PromptLosses {
-    return new PromptLosses();
+  /** Creates an instance without counts. */
+  static create(): PromptCacheMisses {
+    return new PromptCacheMisses();
   }
 
-  /** The losses, the greatest first. */
-  getLosses(): PromptLoss[] {
-    return [...this.losses.values()].toSorted((a, b) => b.tokens - a.tokens);
+  /** Returns the misses, those with the most tokens first. */
+  getMisses(): PromptCacheMiss[] {
+    return [...this.misses.values()].toSorted((a, b) => b.tokens - a.tokens);
   }
 
-  /** Takes the next line; lines must come in the order of their time.
-   * @param line The line. */
-  take(line: LogLine): void {
+  /** Processes the next log line; lines must be in chronological order.
+   * @param line The log line. */
+  processLine(line: LogLine): void {
     this.handlers[line.event]?.(line);
   }
 
@@ -65,75 +65,91 @@
   > = {
     upstream_published: ({ fields }) => {
       this.engineByAddress.set(fields["address"]!, fields["upstream"]!);
-      this.engineState.set(fields["upstream"]!, fields["state"]!);
+      this.stateByEngine.set(fields["upstream"]!, fields["state"]!);
     },
     upstream_ejected: ({ host, at, fields }) => {
       const until = at + Number(fields["ejectedMs"]) / 1_000;
-      this.ejectedUntil.set(`${host} ${fields["upstream"]}`, until);
+      this.ejectedUntilByKey.set(`${host} ${fields["upstream"]}`, until);
     },
     attempt_failed: ({ host, at, fields }) => {
       if (fields["detail"]?.startsWith("silent")) return;
-      this.brokenAt.set(`${host} ${fields["upstream"]}`, at);
+      this.failedAtByKey.set(`${host} ${fields["upstream"]}`, at);
     },
     request_sent: (line) => {
-      if (line.fields["part"] !== undefined) this.takeSend(line);
+      if (line.fields["part"] !== undefined) this.processRequestSent(line);
     },
   };
 
-  private takeSend(line: LogLine): void {
+  private processRequestSent(line: LogLine): void {
     const { at, fields } = line;
     const part = fields["part"]!;
     const target = fields["upstream"]!;
-    const had = this.holders.get(part) ?? new Map<string, number>();
-    const lacked = Number(fields["sharedTokens"]) -
+    const partHolders = this.holdersByPart.get(part) ??
+      new Map<string, number>();
+    const missingTokens = Number(fields["sharedTokens"]) -
       Number(fields["keptTokens"]);
-    const isCounted = at - (this.lastUse.get(part) ?? -Infinity) <
-      COUNTED_FOR_SECONDS;
-    if (lacked > 0 && isCounted) {
-      const fate = this.findFate(had, target, fields["fetchFrom"]);
-      this.count(fate, this.describeHolders(had, line), lacked);
+    const isWithinReuseWindow =
+      at - (this.lastUseByPart.get(part) ?? -Infinity) <
+        REUSE_WINDOW_SECONDS;
+    if (missingTokens > 0 && isWithinReuseWindow) {
+      const outcome = this.classifyMiss(
+        partHolders,
+        target,
+        fields["fetchFrom"],
+      );
+      this.recordMiss(
+        outcome,
+        this.describeHolders(partHolders, line),
+        missingTokens,
+      );
     }
-    had.set(target, at);
-    this.holders.set(part, had);
-    this.lastUse.set(part, at);
+    partHolders.set(target, at);
+    this.holdersByPart.set(part, partHolders);
+    this.lastUseByPart.set(part, at);
   }
 
-  private findFate(
-    had: ReadonlyMap<string, number>,
+  private classifyMiss(
+    partHolders: ReadonlyMap<string, number>,
     target: string,
     sourceAddress: string | undefined,
-  ): PromptFate {
-    if (had.has(target)) return "kept, not known";
+  ): CacheMissOutcome {
+    if (partHolders.has(target)) return "cached, unknown to host";
     const source = this.engineByAddress.get(sourceAddress ?? "");
-    if (source === undefined) return "read";
-    return had.has(source) ? "moved" : "fetched in vain";
+    if (source === undefined) return "recomputed";
+    return partHolders.has(source) ? "moved" : "fetched from wrong engine";
   }
 
   private describeHolders(
-    had: ReadonlyMap<string, number>,
+    partHolders: ReadonlyMap<string, number>,
     line: LogLine,
   ): string {
-    const states = [...had].filter(([, usedAt]) =>
-      line.at - usedAt < KEPT_FOR_SECONDS
+    const states = [...partHolders].filter(([, usedAt]) =>
+      line.at - usedAt < CACHE_RETENTION_SECONDS
     ).map(([engine]) => this.getHolderState(engine, line));
     return [...new Set(states)].toSorted().join(", ");
   }
 
   private getHolderState(engine: string, { host, at }: LogLine): HolderState {
-    const state = this.engineState.get(engine);
+    const state = this.stateByEngine.get(engine);
     if (state === "gone" || state === "leaving") return state;
     const key = `${host} ${engine}`;
-    if (at < (this.ejectedUntil.get(key) ?? -Infinity)) return "ejected";
-    const sinceBroken = at - (this.brokenAt.get(key) ?? -Infinity);
-    return sinceBroken < BROKEN_FOR_SECONDS ? "broken" : "sound";
+    if (at < (this.ejectedUntilByKey.get(key) ?? -Infinity)) return "ejected";
+    const secondsSinceFailure = at - (this.failedAtByKey.get(key) ?? -Infinity);
+    return secondsSinceFailure < CONNECTION_FAILURE_WINDOW_SECONDS
+      ? "broken"
+      : "healthy";
   }
 
-  private count(fate: PromptFate, holders: string, tokens: number): void {
-    const key = `${fate}: ${holders}`;
-    const loss = this.losses.get(key) ??
-      { fate, holders, requests: 0, tokens: 0 };
-    loss.requests += 1;
-    loss.tokens += tokens;
-    this.losses.set(key, loss);
+  private recordMiss(
+    outcome: CacheMissOutcome,
+    holders: string,
+    tokens: number,
+  ): void {
+    const key = `${outcome}: ${holders}`;
+    const miss = this.misses.get(key) ??
+      { outcome, holders, requests: 0, tokens: 0 };
+    miss.requests += 1;
+    miss.tokens += tokens;
+    this.misses.set(key, miss);
   }
 }
