--- a/src/admission/residence_time.ts
+++ b/src/admission/residence_time.ts
@@ -1,5 +1,5 @@
 /** Minimum weight of the latest request in the means. */
-const NEWEST_WEIGHT = 0.02;
+const MIN_SAMPLE_WEIGHT = 0.02;
 
 /** Estimates how long requests stay at an upstream, as exponentially weighted means. */
 export class ResidenceTime {
@@ -29,7 +29,7 @@
    * @param durationMs Duration in milliseconds. */
   recordDuration(durationMs: number): void {
     this.count += 1;
-    const weight = Math.max(NEWEST_WEIGHT, 1 / this.count);
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / this.count);
     const sample = Math.max(1, durationMs);
     this.mean += weight * (sample - this.mean);
     this.meanSquare += weight * (sample ** 2 - this.meanSquare);
--- a/src/published/feed_watcher.ts
+++ b/src/published/feed_watcher.ts
@@ -34,9 +34,9 @@
     this.loop = PollLoop.create({
       poll: () => this.poll(),
       isActive: options.shouldWatch,
-      getDelayMs: (turn) =>
-        turn === "idle" ? options.idleCheckMs : options.getRetryMs(),
-      onOutcome: (turn, error) => this.handleTurn(turn, error),
+      getDelayMs: (outcome) =>
+        outcome === "idle" ? options.idleCheckMs : options.getRetryMs(),
+      onOutcome: (outcome, error) => this.handleOutcome(outcome, error),
     });
   }
 
@@ -51,10 +51,10 @@
     this.loop.close();
   }
 
-  private handleTurn(turn: PollOutcome, error: unknown): void {
-    if (turn === "idle") this.revision = undefined;
-    if (turn === "worked") this.recordSuccess();
-    if (turn === "failed") this.recordFailure(error);
+  private handleOutcome(outcome: PollOutcome, error: unknown): void {
+    if (outcome === "idle") this.revision = undefined;
+    if (outcome === "worked") this.recordSuccess();
+    if (outcome === "failed") this.recordFailure(error);
   }
 
   private async poll(): Promise<void> {
@@ -66,13 +66,13 @@
       this.revision = snapshot.revision;
       return;
     }
-    const { watchMs, feed, replica: keeper } = this.options;
+    const { watchMs, feed, replica } = this.options;
     const changes = await feed.watch(this.revision, watchMs);
     const isEmpty = changes.upstreams.length === 0 &&
       changes.configuration === undefined;
     // The platform holds an empty response for the whole wait, so nothing changed until the end of the wait.
     const heldUntil = Math.min(readClock(), requestedAt + watchMs);
-    keeper.applyChanges(changes, isEmpty ? heldUntil : requestedAt);
+    replica.applyChanges(changes, isEmpty ? heldUntil : requestedAt);
     this.logProblems(changes.problems);
     this.revision = changes.revision;
     if (!isEmpty) await delay(this.options.batchDelayMs);
--- a/src/published/publication_feed.ts
+++ b/src/published/publication_feed.ts
@@ -1,8 +1,8 @@
 import type { PublishedConfiguration } from "./configuration_schema.ts";
 import type { PublishedUpstream } from "./upstream_schema.ts";
 
-/** An upstream that was published or changed, or the removal of one. All `revision`s here are positions
- * (`createPosition`). */
+/** An upstream that was published or changed, or the removal of one. Every `revision` in this file is a
+ * position (`createPosition`). */
 export type UpstreamChange =
   | { id: string; revision: number; upstream: PublishedUpstream }
   | { id: string; revision: number; upstream: undefined };
--- a/src/published/publication_replica.ts
+++ b/src/published/publication_replica.ts
@@ -31,11 +31,11 @@
   onUpstreamChanges: (changes: readonly UpstreamChange[]) => void;
 }
 
-/** State that hosts send to each other: everything they know, or what changed after a revision. */
+/** State that hosts send to each other: everything they know, or what changed after a position. */
 export interface PublicationState {
   configuration: PublishedConfiguration | undefined;
   changes: UpstreamChange[];
-  /** Revision up to which the sender misses no change. */
+  /** Position up to which the sender misses no change. */
   completeUpTo: number;
   /** Age of the sender's data when it was sent, in milliseconds. */
   ageMs: number;
@@ -62,12 +62,12 @@
     return this.routeTable;
   }
 
-  /** Highest revision of all merged changes. */
+  /** Highest position of all merged changes. */
   get revision(): number {
     return this.publication.revision;
   }
 
-  /** Revision up to which no change is missing here. */
+  /** Position up to which no change is missing here. */
   get completeUpTo(): number {
     return this.publication.completeUpTo;
   }
@@ -77,7 +77,7 @@
     return this.publication.digest;
   }
 
-  /** Age of the known data in milliseconds: everything that was published before then is known here. */
+  /** Age of the known data in milliseconds: everything that was published at least this long ago is known here. */
   get ageMs(): number {
     return this.freshness.getAge(readClock());
   }
@@ -88,7 +88,7 @@
   }
 
   /** Returns the known state, to be sent to a peer.
-   * @param after Revision up to which the peer misses nothing; 0 for all. */
+   * @param after Position up to which the peer misses nothing; 0 for all. */
   getState(after = 0): PublicationState {
     return {
       configuration: this.publication.configuration,
@@ -115,7 +115,7 @@
   }
 
   /** Merges changes that a watch returned.
-   * @param changes All changes after a revision up to which none was missing.
+   * @param changes All changes after a position up to which none was missing.
    * @param completeUntil Monotonic milliseconds up to which the watch is certain to have returned every change. */
   applyChanges(changes: PublicationChanges, completeUntil: number): void {
     const { configuration, upstreams } = changes;
@@ -129,7 +129,7 @@
   }
 
   /** Merges the state of a peer.
-   * @param state Everything the peer knows, or all changes after a revision up to which nothing is missing here.
+   * @param state Everything the peer knows, or all changes after a position up to which nothing is missing here.
    * @param peerId Id of the peer.
    * @param requestedAt Monotonic milliseconds at which the state was requested. */
   applyPeerState(
--- a/src/upstreams/availability.ts
+++ b/src/upstreams/availability.ts
@@ -18,9 +18,8 @@
 
 /** Whether one instance of an upstream accepts requests, according to its responses to this host. The state is not
  * shared: other hosts may still send requests to the upstream, and another instance under the same id starts afresh.
- * Avoiding upstreams for a constant time, whatever backoff they asked for, gave each of them four to six requests where
- * one was wanted, and callers were refused while other upstreams were idle, because their attempts went to the full
- * ones. */
+ * The requested backoff is honored because a constant one sends each upstream four to six requests where one is wanted,
+ * and callers are refused while other upstreams are idle, because their attempts go to the full ones. */
 export class Availability {
   /** Called on each change. */
   onChange: (change: AvailabilityChange) => void = () => undefined;
@@ -52,7 +51,8 @@
     return !this.hasAnnouncedLeaving && now >= this.backoffEndsAt;
   }
 
-  /** Whether the upstream likely has capacity for one more request. If no upstream has, it may be tried all the same.
+  /** Whether the upstream likely has capacity for one more request. It may be tried without capacity if no upstream has
+   * any.
    * @param now Monotonic milliseconds. */
   hasCapacity(now: number): boolean {
     if (now < this.declineBackoffEndsAt) return false;
@@ -78,7 +78,7 @@
     const wasBackingOff = now < this.backoffEndsAt;
     const endsAt = now + Math.min(backoffMs, MAX_BACKOFF_MS);
     this.backoffEndsAt = Math.max(this.backoffEndsAt, endsAt);
-    // If all hosts resumed at once, they would fill the upstream again before its first response shows it.
+    // If all hosts resumed at once, they would overload the upstream before its first response tells them so.
     this.trialLimit = 1;
     if (!wasBackingOff) this.onChange("backs_off");
   }
@@ -91,7 +91,7 @@
   }
 
   /** Records that the upstream declined a request without naming a backoff. Further declines during the resulting
-   * backoff are ignored, so that requests under way at the first one count once.
+   * backoff are ignored, so that requests that were in flight at the first decline count once.
    * @param now Monotonic milliseconds. */
   recordDecline(now: number): void {
     if (now < this.declineBackoffEndsAt) return;
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -114,8 +114,8 @@
 }
 
 /** Computes the maximum number of requests on an upstream, including the one to be added. Uses the lower one of the
- * mean loads of the service and of the usable upstreams, unless the usable upstreams could not hold their present load
- * then. */
+ * mean loads of the service and of the usable upstreams, unless the usable upstreams could not hold their current load
+ * under that bound. */
 function computeBound(
   usable: readonly Upstream[],
   options: ChoiceOptions,
--- a/src/upstreams/load_counts.ts
+++ b/src/upstreams/load_counts.ts
@@ -92,8 +92,8 @@
    * @param upstreams All upstreams. */
   getOwnCounts(upstreams: Iterable<Upstream>): LoadCount[] {
     const counts: LoadCount[] = [];
-    for (const { instanceHash: shortName, ownRequests } of upstreams) {
-      if (ownRequests > 0) counts.push([shortName, ownRequests]);
+    for (const { instanceHash, ownRequests } of upstreams) {
+      if (ownRequests > 0) counts.push([instanceHash, ownRequests]);
     }
     return counts;
   }
@@ -106,17 +106,14 @@
   private updateSum(now: number): void {
     const sums = new Map<number, number>();
     const counted = { hosts: 0, reportedAtSum: 0, oldestReportedAt: Infinity };
-    for (
-      const [hostId, { expiresAt: usedUntil, reportedAt: toldAt, counts }]
-        of this.hosts
-    ) {
-      if (now > usedUntil) {
+    for (const [hostId, { expiresAt, reportedAt, counts }] of this.hosts) {
+      if (now > expiresAt) {
         this.hosts.delete(hostId);
         continue;
       }
       counted.hosts += 1;
-      counted.reportedAtSum += toldAt;
-      counted.oldestReportedAt = Math.min(counted.oldestReportedAt, toldAt);
+      counted.reportedAtSum += reportedAt;
+      counted.oldestReportedAt = Math.min(counted.oldestReportedAt, reportedAt);
       for (const [instanceHash, requests] of counts) {
         sums.set(instanceHash, (sums.get(instanceHash) ?? 0) + requests);
       }
--- a/src/upstreams/upstream_connection.ts
+++ b/src/upstreams/upstream_connection.ts
@@ -20,7 +20,7 @@
 
   private constructor(
     address: string,
-    onClosed: (channel: UpstreamConnection) => void,
+    onClosed: (connection: UpstreamConnection) => void,
   ) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
@@ -42,7 +42,7 @@
    * @param onClosed Called when the connection has ended. */
   static create(
     address: string,
-    onClosed: (channel: UpstreamConnection) => void,
+    onClosed: (connection: UpstreamConnection) => void,
   ): UpstreamConnection {
     return new UpstreamConnection(address, onClosed);
   }
--- a/src/upstreams/upstream_table.ts
+++ b/src/upstreams/upstream_table.ts
@@ -6,8 +6,8 @@
 import { logAvailabilityChange } from "./log_availability_change.ts";
 import { Upstream } from "./upstream.ts";
 
-/** Fraction of the leave timeout for which an upstream whose entry disappeared just after an outage of the platform is
- * used at most. Entries that lapsed during the outage come back within two seconds. */
+/** Maximum time for which an upstream stays in use after its entry disappeared just after an outage of the platform, as
+ * a fraction of the leave timeout. Entries that lapsed during the outage come back within two seconds. */
 const LAPSE_GRACE_FRACTION = 0.8;
 /** Time for which an upstream that is no longer listed counts as present, in milliseconds. Leaving upstreams continue
  * to serve slightly longer than the two seconds after which they get no new requests. */
@@ -229,10 +229,10 @@
   }
 
   private rebuildService(service: string): void {
-    const serving = [...this.byId.values()].filter((upstream) =>
+    const upstreams = [...this.byId.values()].filter((upstream) =>
       upstream.published.service === service
     );
-    this.byService.set(service, serving);
+    this.byService.set(service, upstreams);
   }
 }
 
--- a/tests/platform/read_availability_test.ts
+++ b/tests/platform/read_availability_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { readAvailability } from "../../platform/read_availability.ts";
 
-test("an upstream that rejects a request may set a backoff time", (t) => {
+test("an upstream that declines a request may ask for a backoff", (t) => {
   const headers = { "retry-after": "1.5" };
   t.is(readAvailability(503, headers).backoffMs, 1_500);
   t.is(readAvailability(429, headers).backoffMs, 1_500);
--- a/tests/published/publication_replica_test.ts
+++ b/tests/published/publication_replica_test.ts
@@ -15,14 +15,14 @@
   });
 }
 
-function applySnapshot(replica: PublicationReplica, askedAt: number): void {
+function applySnapshot(replica: PublicationReplica, requestedAt: number): void {
   const snapshot = {
     revision: 1,
     configuration: buildConfiguration(),
     upstreams: [],
     problems: [],
   };
-  replica.applySnapshot(snapshot, askedAt);
+  replica.applySnapshot(snapshot, requestedAt);
 }
 
 test("the age counts from the time of the request, and an older confirmation does not increase it", (t) => {
--- a/tests/published/publication_test.ts
+++ b/tests/published/publication_test.ts
@@ -6,11 +6,11 @@
 
 /** Changes as the platform publishes them: each revision belongs to a single upstream. */
 const historyArbitrary = fc.array(
-  fc.record({ id: fc.constantFrom("a", "b", "c"), isGone: fc.boolean() }),
+  fc.record({ id: fc.constantFrom("a", "b", "c"), isRemoved: fc.boolean() }),
   { minLength: 1, maxLength: 20 },
 ).map((entries): UpstreamChange[] =>
-  entries.map(({ id, isGone }, index) =>
-    isGone
+  entries.map(({ id, isRemoved }, index) =>
+    isRemoved
       ? { id, revision: index + 1, upstream: undefined }
       : { id, revision: index + 1, upstream: buildUpstream({ id }) }
   )
--- a/tests/published/route_table_test.ts
+++ b/tests/published/route_table_test.ts
@@ -24,6 +24,6 @@
     (_, index) => chooseService(route, `chat-${index}`),
   );
   t.is(chooseService(route, "chat-1"), chosen[1]!);
-  const part = chosen.filter((service) => service === "y").length / 5_000;
-  t.true(part > 0.08 && part < 0.12, String(part));
+  const fraction = chosen.filter((service) => service === "y").length / 5_000;
+  t.true(fraction > 0.08 && fraction < 0.12, String(fraction));
 });
--- a/tests/upstreams/choose_upstream_test.ts
+++ b/tests/upstreams/choose_upstream_test.ts
@@ -101,9 +101,7 @@
 
 test("if all upstreams are ejected, one of them is used all the same", (t) => {
   const upstreams = createUpstreams(2);
-  for (const upstream of upstreams) {
-    upstream.health.recordSignal("unreachable", 0);
-  }
+  for (const one of upstreams) one.health.recordSignal("unreachable", 0);
   t.truthy(chooseUpstream(buildOptions(upstreams, { now: 1 })));
 });
 
@@ -140,9 +138,9 @@
   const cachingEngine = upstreams[0]!;
   const prefixes = PrefixIndex.create();
   prefixes.recordSent(CHAT, cachingEngine.instanceHash, false, 0);
-  const counts: LoadCount[] = upstreams.map(({ instanceHash: shortName }) => [
-    shortName,
-    shortName === cachingEngine.instanceHash ? 12 : 4,
+  const counts: LoadCount[] = upstreams.map(({ instanceHash }) => [
+    instanceHash,
+    instanceHash === cachingEngine.instanceHash ? 12 : 4,
   ]);
   const admission = AdmissionController.create(Random.create(3));
   admission.recordCompletion("s", "r", 1_000);
