--- a/src/crashes/connection_check.ts
+++ b/src/crashes/connection_check.ts
@@ -4,8 +4,8 @@
 /** Timeout of a check, in milliseconds: about a hundred times the usual round trip. */
 const CHECK_TIMEOUT_MS = 450;
 
-/** Result of a check: the address accepts connections, it refuses them because nothing listens there, or it did not
- * answer in time or failed with another error. */
+/** Result of a check: the address accepts connections, it refuses them because nothing listens there, or the check
+ * timed out or failed with another error. */
 export type CheckResult = "taken" | "refused" | "undecided";
 
 /** Checks whether something listens at an address, by opening a connection that is closed immediately.
--- a/src/crashes/crash_detector.ts
+++ b/src/crashes/crash_detector.ts
@@ -17,7 +17,7 @@
   readonly isEndExpected: boolean;
 }
 
-/** A request whose connection ended before its answer was complete. */
+/** A request whose connection ended before its response was complete. */
 export interface InterruptedRequest {
   fingerprint: number;
   /** Points that the request is given if the upstream crashed. */
@@ -93,9 +93,9 @@
   }
 
   /** Records that an instance was removed from the list or replaced, which confirms a suspected crash.
-   * @param instance Hash of the instance. */
-  recordRemoval(instance: number): void {
-    const crash = this.crashes.get(instance);
+   * @param instanceHash Hash of the instance. */
+  recordRemoval(instanceHash: number): void {
+    const crash = this.crashes.get(instanceHash);
     if (crash && !crash.isConfirmed) this.confirm(crash);
   }
 
@@ -159,9 +159,9 @@
   /** Keeps a confirmed crash for a while, so that it is also attributed to requests whose connections end a little
    * later. */
   private scheduleRemoval(crash: SuspectedCrash): void {
-    const { instanceHash: shortName } = crash.upstream;
+    const { instanceHash } = crash.upstream;
     crash.timer = setTimeout(
-      () => this.crashes.delete(shortName),
+      () => this.crashes.delete(instanceHash),
       SUSPECTED_CRASH_RETENTION_MS,
     );
     crash.timer.unref();
--- a/src/crashes/crash_gossip.ts
+++ b/src/crashes/crash_gossip.ts
@@ -61,8 +61,8 @@
 
   private sendBatch(): void {
     this.batchTimer = undefined;
-    const { store: memory, getHosts } = this.options;
-    const reports = memory.takePendingReports(
+    const { store, getHosts } = this.options;
+    const reports = store.takePendingReports(
       MAX_REPORTS_PER_MESSAGE,
       readClock(),
     );
@@ -71,19 +71,19 @@
       ? hosts
       : hosts.slice(0, LARGE_FLEET_FANOUT);
     for (const host of receivers) this.send(host, reports);
-    if (memory.hasPendingReports) {
+    if (store.hasPendingReports) {
       this.batchTimer = setTimeout(() => this.sendBatch(), NEXT_BATCH_DELAY_MS);
     }
   }
 
   private sendSample(): void {
-    const { store: memory, getHosts } = this.options;
-    if (memory.isEmpty) return;
+    const { store, getHosts } = this.options;
+    if (store.isEmpty) return;
     const [host] = this.random.shuffle(getHosts());
     if (host === undefined) return;
     this.send(
       host,
-      memory.sampleReports(MAX_REPORTS_PER_MESSAGE, readClock(), this.random),
+      store.sampleReports(MAX_REPORTS_PER_MESSAGE, readClock(), this.random),
     );
   }
 
--- a/src/crashes/crash_guard.ts
+++ b/src/crashes/crash_guard.ts
@@ -21,9 +21,9 @@
   onHeld: (fingerprint: number) => void;
   /** Called with the hash of each instance that crashed, once nothing listens at its address or it was removed from
    * the list. */
-  onCrash: (instance: number) => void;
+  onCrash: (instanceHash: number) => void;
   /** Called with the hash of each instance that another host newly reports to have crashed. */
-  onCrashReported: (instance: number) => void;
+  onCrashReported: (instanceHash: number) => void;
 }
 
 /** Prevents requests that crash upstreams from crashing more of them, by holding them back for a while. */
@@ -40,9 +40,9 @@
     });
     this.detector = CrashDetector.create({
       logger: options.logger,
-      onCrash: ({ instanceHash: shortName }) => options.onCrash(shortName),
-      onAffected: ({ instanceHash: shortName }, requests) =>
-        this.recordCrash(shortName, requests),
+      onCrash: ({ instanceHash }) => options.onCrash(instanceHash),
+      onAffected: ({ instanceHash }, requests) =>
+        this.recordCrash(instanceHash, requests),
     });
   }
 
@@ -75,17 +75,17 @@
     return points < HOLD_THRESHOLD_POINTS;
   }
 
-  /** Records an attempt whose connection ended before its answer was complete.
+  /** Records an attempt whose connection ended before its response was complete.
    * @param upstream Instance that the request was sent to.
    * @param fingerprint Fingerprint of the request.
-   * @param isPartiallyAnswered Whether the attempt had already returned events. */
+   * @param hasPartialResponse Whether part of the response had already been received. */
   recordInterruption(
     upstream: UpstreamInstance,
     fingerprint: number,
-    isPartiallyAnswered: boolean,
+    hasPartialResponse: boolean,
   ): void {
     const points =
-      CRASH_POINTS[isPartiallyAnswered ? "partiallyAnswered" : "unanswered"];
+      CRASH_POINTS[hasPartialResponse ? "partialResponse" : "noResponse"];
     this.detector.recordInterruption(upstream, { fingerprint, points });
   }
 
@@ -95,16 +95,16 @@
     this.detector.checkReportedCrash(upstream);
   }
 
-  /** Records that an upstream completed a request, whatever the answer.
+  /** Records that an upstream completed a request, whatever the response.
    * @param fingerprint Fingerprint of the request. */
   recordCompletion(fingerprint: number): void {
     this.store.recordCompletion(fingerprint, readClock());
   }
 
   /** Records that an instance was removed from the list or replaced.
-   * @param instance Hash of the instance. */
-  recordRemoval(instance: number): void {
-    this.detector.recordRemoval(instance);
+   * @param instanceHash Hash of the instance. */
+  recordRemoval(instanceHash: number): void {
+    this.detector.recordRemoval(instanceHash);
   }
 
   /** Stops all pending crash checks. */
@@ -113,12 +113,12 @@
   }
 
   private recordCrash(
-    instance: number,
+    instanceHash: number,
     requests: readonly InterruptedRequest[],
   ): void {
     const now = readClock();
     for (const { fingerprint, points } of requests) {
-      this.store.recordCrash(fingerprint, instance, points, now);
+      this.store.recordCrash(fingerprint, instanceHash, points, now);
     }
   }
 
--- a/src/crashes/crash_record.ts
+++ b/src/crashes/crash_record.ts
@@ -3,7 +3,7 @@
 /** Maximum number of crashes that are kept for one request: enough to hold it for the longest time. */
 const MAX_CRASHES = 8;
 /** Duration of the hold after the last crash, in milliseconds, by the minimum of points that it needs. Two crashes
- * before any part of the answer may be coincidence, so the request may soon be sent again. Three are not, and it may
+ * before any part of the response may be coincidence, so the request may soon be sent again. Three are not, and it may
  * be sent again only because a new version of the upstreams might no longer crash on it. */
 const HOLD_TIERS: readonly (readonly [points: number, holdMs: number])[] = [
   [4, 30_000],
@@ -12,9 +12,9 @@
   [7, 6 * 3_600_000],
   [8, 24 * 3_600_000],
 ];
-/** Points that a request is given for a crash: fewer if it was already partially answered, since it had then run for
- * a while without a crash. */
-export const CRASH_POINTS = { unanswered: 2, partiallyAnswered: 1 } as const;
+/** Points that a request is given for a crash: fewer if part of its response had been received, since it had then run
+ * for a while without a crash. */
+export const CRASH_POINTS = { noResponse: 2, partialResponse: 1 } as const;
 /** Minimum of points for which a request is held. */
 export const HOLD_THRESHOLD_POINTS = HOLD_TIERS[0]![0];
 
@@ -39,8 +39,8 @@
   /** Sum of the points of all crashes that are not excused. */
   get points(): number {
     return [...this.crashes].reduce(
-      (sum, [instance, points]) =>
-        this.excused.has(instance) ? sum : sum + points,
+      (sum, [instanceHash, points]) =>
+        this.excused.has(instanceHash) ? sum : sum + points,
       0,
     );
   }
@@ -67,7 +67,9 @@
    * @param now Monotonic milliseconds. */
   merge(report: CrashReport, now: number): boolean {
     const crashes = report.crashes.map((crash) => this.addCrash(crash));
-    const excuses = report.excused.map((instance) => this.excuse(instance));
+    const excuses = report.excused.map((instanceHash) =>
+      this.excuse(instanceHash)
+    );
     const hasCrashNews = crashes.includes(true);
     // Only for new crashes: `agoMs` leaves out the transit time, so a report gets younger on each hop, and crashes that
     // hosts report back and forth would never age.
@@ -79,7 +81,9 @@
 
   /** Excuses all crashes, because the request completed after them; returns whether any had counted. */
   excuseAll(): boolean {
-    return [...this.crashes.keys()].map((instance) => this.excuse(instance))
+    return [...this.crashes.keys()].map((instanceHash) =>
+      this.excuse(instanceHash)
+    )
       .includes(true);
   }
 
@@ -94,19 +98,19 @@
     };
   }
 
-  private addCrash([instance, points]: CrashPoints): boolean {
-    const recordedPoints = this.crashes.get(instance) ?? 0;
+  private addCrash([instanceHash, points]: CrashPoints): boolean {
+    const recordedPoints = this.crashes.get(instanceHash) ?? 0;
     if (recordedPoints >= points) return false;
     if (recordedPoints === 0 && this.crashes.size >= MAX_CRASHES) return false;
-    this.crashes.set(instance, points);
+    this.crashes.set(instanceHash, points);
     return true;
   }
 
-  private excuse(instance: number): boolean {
-    if (this.excused.has(instance) || this.excused.size >= MAX_CRASHES) {
+  private excuse(instanceHash: number): boolean {
+    if (this.excused.has(instanceHash) || this.excused.size >= MAX_CRASHES) {
       return false;
     }
-    this.excused.add(instance);
+    this.excused.add(instanceHash);
     return true;
   }
 }
--- a/src/crashes/crash_report.ts
+++ b/src/crashes/crash_report.ts
@@ -34,7 +34,7 @@
   excused: list[3],
 }));
 
-/** Packs a crash report as the list that the schema above reads.
+/** Encodes a crash report as the list that `packedCrashReportSchema` decodes.
  * @param report The report. */
 export function packCrashReport(
   report: CrashReport,
--- a/src/crashes/crash_store.ts
+++ b/src/crashes/crash_store.ts
@@ -29,7 +29,7 @@
 /** Callbacks of `CrashStore`. */
 export interface CrashStoreListener {
   /** Called with the hash of each instance that another host newly reports to have crashed. */
-  onCrashReported(instance: number): void;
+  onCrashReported(instanceHash: number): void;
   /** Called when a report becomes pending for other hosts. */
   onPendingReports(): void;
   /** Called when a request is held from now on, or for longer. */
@@ -80,18 +80,18 @@
 
   /** Records that a request was in flight on an instance when that crashed, unless the request completed recently.
    * @param fingerprint Fingerprint of the request.
-   * @param instance Hash of the instance.
+   * @param instanceHash Hash of the instance.
    * @param points Points that the request is given.
    * @param now Monotonic milliseconds. */
   recordCrash(
     fingerprint: number,
-    instance: number,
+    instanceHash: number,
     points: number,
     now: number,
   ): void {
     const lastCompletedAt = this.completedAt.get(fingerprint) ?? -Infinity;
     if (now - lastCompletedAt < COMPLETION_GRACE_MS) return;
-    const crashes: CrashReport["crashes"] = [[instance, points]];
+    const crashes: CrashReport["crashes"] = [[instanceHash, points]];
     this.mergeReport({ fingerprint, agoMs: 0, crashes, excused: [] }, now);
   }
 
@@ -115,8 +115,8 @@
       if (report.agoMs >= HELD_RETENTION_MS) continue;
       const isNew = this.mergeReport(report, now);
       if (!isNew || report.agoMs > RECENT_CRASH_MS) continue;
-      for (const [instance] of report.crashes) {
-        this.listener.onCrashReported(instance);
+      for (const [instanceHash] of report.crashes) {
+        this.listener.onCrashReported(instanceHash);
       }
     }
   }
--- a/tests/crashes/crash_detector_test.ts
+++ b/tests/crashes/crash_detector_test.ts
@@ -22,7 +22,7 @@
   isEndExpected: false,
 };
 
-/** Builds a request that was interrupted before any part of its answer. */
+/** Builds a request that was interrupted before any part of its response was received. */
 function interrupt(fingerprint: number): InterruptedRequest {
   return { fingerprint, points: 2 };
 }
--- a/tests/crashes/crash_gossip_test.ts
+++ b/tests/crashes/crash_gossip_test.ts
@@ -46,7 +46,9 @@
   body: (hosts: TestHost[], startLater: () => TestHost) => Promise<void>,
 ): Promise<void> {
   await withSockets(count, async (sockets) => {
-    const hosts = sockets.slice(0, -1).map((one) => startHost(one, sockets));
+    const hosts = sockets.slice(0, -1).map((socket) =>
+      startHost(socket, sockets)
+    );
     const startLater = () => {
       const host = startHost(sockets.at(-1)!, sockets);
       hosts.push(host);
--- a/tests/crashes/crash_store_test.ts
+++ b/tests/crashes/crash_store_test.ts
@@ -12,7 +12,7 @@
   const held: number[] = [];
   const heard: number[] = [];
   const store = CrashStore.create({
-    onCrashReported: (instance) => heard.push(instance),
+    onCrashReported: (instanceHash) => heard.push(instanceHash),
     onPendingReports: () => undefined,
     onHeld: (fingerprint) => held.push(fingerprint),
   });
@@ -24,10 +24,10 @@
   return store.sampleReports(Infinity, now, Random.create(1));
 }
 
-/** Creates a store in which a request was in flight and unanswered on some instances that crashed at time 0. */
-function createStoreWithCrashes(...instances: number[]) {
+/** Creates a store in which a request was in flight without a response on some instances that crashed at time 0. */
+function createStoreWithCrashes(...instanceHashes: number[]) {
   const { store, held } = createStore();
-  for (const instance of instances) store.recordCrash(REQUEST, instance, 2, 0);
+  for (const hash of instanceHashes) store.recordCrash(REQUEST, hash, 2, 0);
   return { store, held };
 }
 
@@ -52,7 +52,7 @@
   t.is(createStoreWithCrashes(1, 1).store.getHold(REQUEST, 0), undefined);
 });
 
-test("a request that was partially answered is only held after four crashes", (t) => {
+test("a request with partial responses is only held after four crashes", (t) => {
   const { store } = createStore();
   for (const hash of [1, 2, 3]) store.recordCrash(REQUEST, hash, 1, 0);
   t.is(store.getHold(REQUEST, 0), undefined);
