--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -76,7 +76,7 @@
     this.update(member, { ...rumour, unavailable }, now);
   }
 
-  /** Marks a member alive after it sent a message or answered a probe.
+  /** Marks a member alive after it sent a message or acknowledged a probe.
    * @param state State that the member reports about itself.
    * @param now Monotonic milliseconds. */
   markAlive(state: Omit<Rumour, "status">, now: number): void {
@@ -91,7 +91,7 @@
     this.update(member, { ...state, status: "alive" }, now);
   }
 
-  /** Marks a member suspect after it failed to answer a probe; a member that is suspect or dead is left as it is.
+  /** Marks a member suspect after it failed to acknowledge a probe; a member that is suspect or dead is left as it is.
    * @param id Id of the member.
    * @param now Monotonic milliseconds. */
   markSuspect(id: string, now: number): void {
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -149,7 +149,7 @@
     this.actor.tell("push", null);
   }
 
-  /** Cancels all pending probes, because answers may have been delayed while this process was paused. */
+  /** Cancels all pending probes, because acknowledgements may have been delayed while this process was paused. */
   cancelProbes(): void {
     this.prober.close();
   }
@@ -202,12 +202,15 @@
     this.publishView();
   }
 
+  /** Completes a probe. A pause of this process that was not noticed before is noticed first and cancels the pending
+   * probes, so that an acknowledgement which was delayed by the pause is ignored. */
   private acknowledge(id: string, nonce: number): void {
     this.options.guard.isFresh();
     if (this.prober.acknowledge(id, nonce)) this.options.guard.markFresh();
   }
 
-  /** Probes a member on behalf of another router and sends it the member's state if the member answers. */
+  /** Probes a member on behalf of another router and sends that router the member's state if the member acknowledges the
+   * probe. */
   private relay(target: string, nonce: number, sender: DatagramAddress): void {
     this.prober.probe(target, () => {
       const member = this.table.getMember(target);
@@ -236,8 +239,8 @@
     this.publishView();
   }
 
-  /** Runs once per probe interval. While no member is alive, no answer is expected that would end the guard's stale
-   * state after a pause, so it is ended here. */
+  /** Runs once per probe interval. While no member is alive, no acknowledgement is expected that would end the
+   * stale state of the pause detector, so it is ended here. */
   private probeNextMembers(): void {
     this.options.guard.isFresh();
     this.table.expireSuspicions(readClock());
@@ -277,8 +280,8 @@
     return this.probeOrder.pop();
   }
 
-  /** Marks a member suspect, unless this process was paused and no probe was answered since: the pause itself may then
-   * be why the member seemed silent. */
+  /** Marks a member suspect, unless this process was paused and no probe was acknowledged since: the pause itself
+   * may be why no acknowledgement from the member was received. */
   private suspect(id: string): void {
     if (!this.options.guard.isFresh()) return;
     this.table.markSuspect(id, readClock());
--- a/src/membership/probe_message.ts
+++ b/src/membership/probe_message.ts
@@ -18,8 +18,8 @@
   loads: z.array(z.tuple([z.number().int(), z.number().int()])).max(128),
 };
 
-/** Schema of a datagram between two routers. A `ping` is answered by an `ack`. A `relay` asks the receiver to probe the
- * target on the sender's behalf, and is answered by a `relayed` with the target's state if the target answers. */
+/** Schema of a datagram between two routers. A `ping` is acknowledged by an `ack`. A `relay` asks the receiver to probe
+ * the target on the sender's behalf; if the target acknowledges, the response is a `relayed` with its state. */
 export const probeMessageSchema = z.discriminatedUnion("type", [
   z.object({ type: z.literal("ping"), ...header }),
   z.object({ type: z.literal("ack"), ...header }),
--- a/src/membership/probe_socket.ts
+++ b/src/membership/probe_socket.ts
@@ -25,7 +25,7 @@
 
   /** Binds a socket.
    * @param bindAddress Address to bind.
-   * @param authenticator Secret that signs and verifies each datagram.
+   * @param authenticator Signs and verifies each datagram.
    * @param onMessage Called with each valid message and its sender. */
   static async create(
     bindAddress: DatagramAddress,
@@ -49,7 +49,7 @@
     return probeSocket;
   }
 
-  /** Sends a message, without any sign of whether it arrives.
+  /** Sends a message without delivery guarantee.
    * @param message The message.
    * @param to Address of the receiver. */
   send(message: ProbeMessage, to: DatagramAddress): void {
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -10,7 +10,7 @@
   sendPing: (target: string, nonce: number) => void;
   /** Asks other hosts to probe the target (indirect probe). */
   requestIndirectProbes: (target: string, nonce: number) => void;
-  /** Called with a target that answered neither the direct nor an indirect probe. */
+  /** Called with a target that acknowledged neither the direct nor an indirect probe. */
   onProbeFailed: (target: string) => void;
 }
 
@@ -45,8 +45,8 @@
 
   /** Starts a probe.
    * @param target Host to probe.
-   * @param onAcknowledged Called when the target answers; given only for a probe on behalf of another host. Such a
-   * probe is not followed by indirect probes, and its failure is not reported. */
+   * @param onAcknowledged Called when the target acknowledges the probe; given only for a probe on behalf of another
+   * host. Such a probe is not followed by indirect probes, and its failure is not reported. */
   probe(target: string, onAcknowledged?: () => void): void {
     const nonce = this.nextNonce++;
     const stopTimer = this.timeline.after(
