--- a/src/peers/datagram.ts
+++ b/src/peers/datagram.ts
@@ -16,9 +16,9 @@
   }
   /** Asks the receiver to probe a host and, if that host responds, to send an acknowledgement with the nonce. */
   | { type: "indirect_probe_request"; nonce: number; target: string }
-  /** Carries the sender's membership state of hosts. */
+  /** Disseminates membership updates about hosts. */
   | { type: "host_rumours"; rumours: readonly HostRumour[] }
-  /** Requests the entries of hosts, named by the hashes of their gossip addresses. */
+  /** Requests the entries of hosts; `names` are the hashes of their gossip addresses. */
   | { type: "host_entries_request"; names: readonly number[] }
   /** Requests the status of the receiver's copy of the publication; `requestedAt` is the requester's clock. */
   | { type: "publication_status_request"; requestedAt: number }
@@ -29,14 +29,14 @@
     status: PublicationStatus;
   }
   /** Reports which engines were sent which parts of prompts. */
-  | { type: "prefix_facts"; facts: readonly PrefixUpdate[] }
-  /** Asks which engines hold a part of a prompt; the id matches responses to requests. */
+  | { type: "prefix_updates"; updates: readonly PrefixUpdate[] }
+  /** Asks which engines have a part of a prompt cached; the id matches responses to requests. */
   | { type: "prefix_lookup_request"; lookupId: number; part: number }
   /** Responds to such a request and returns its id. */
   | {
     type: "prefix_lookup_response";
     lookupId: number;
-    sightings: readonly PrefixHolder[];
+    holders: readonly PrefixHolder[];
   }
   /** Reports which requests were in flight on upstreams that crashed. */
   | { type: "crash_words"; words: readonly CrashReport[] };
--- a/src/peers/datagram_codec.ts
+++ b/src/peers/datagram_codec.ts
@@ -8,7 +8,7 @@
 import { packGossip } from "./pack_gossip.ts";
 import { gossipSchema } from "./gossip_schema.ts";
 import { hostRumoursSchema, packHostRumours } from "./host_rumour.ts";
-import { prefixFactsSchema, prefixSightingsSchema } from "./message_schemas.ts";
+import { prefixFactsSchema, prefixHoldersSchema } from "./message_schemas.ts";
 
 /** Encodes and decodes the body of one datagram type. */
 interface BodyCodec<Type extends DatagramType> {
@@ -53,11 +53,11 @@
         return { type: "publication_status_response", requestedAt, status };
       }),
   },
-  prefix_facts: {
+  prefix_updates: {
     typeCode: 3,
-    pack: ({ facts }) => [facts],
+    pack: ({ updates }) => [updates],
     schema: z.tuple([prefixFactsSchema])
-      .transform(([facts]) => ({ type: "prefix_facts", facts })),
+      .transform(([updates]) => ({ type: "prefix_updates", updates })),
   },
   prefix_lookup_request: {
     typeCode: 4,
@@ -71,12 +71,12 @@
   },
   prefix_lookup_response: {
     typeCode: 5,
-    pack: ({ lookupId, sightings }) => [lookupId, sightings],
-    schema: z.tuple([z.number(), prefixSightingsSchema])
-      .transform(([lookupId, sightings]) => ({
+    pack: ({ lookupId, holders }) => [lookupId, holders],
+    schema: z.tuple([z.number(), prefixHoldersSchema])
+      .transform(([lookupId, holders]) => ({
         type: "prefix_lookup_response",
         lookupId,
-        sightings,
+        holders,
       })),
   },
   crash_words: {
--- a/src/peers/failure_detector.ts
+++ b/src/peers/failure_detector.ts
@@ -10,10 +10,10 @@
 
 /** Timeout of a direct probe, in milliseconds; the timeout of indirect probes is twice as long. */
 const PROBE_TIMEOUT_MS = 180;
-/** Hosts that are asked to probe a host that did not acknowledge a direct probe. */
+/** Number of hosts that are asked to probe a host that did not acknowledge a direct probe. */
 const INDIRECT_PROBES = 3;
-/** Hosts without recent contact in the hall of an unresponsive host that are probed along with it, since many may have
- * failed at once. */
+/** Maximum number of hosts that are probed when a host of their hall does not acknowledge a probe, since many may have
+ * failed at once; only hosts without recent contact are. */
 const NEIGHBOUR_PROBES = 2;
 /** Time after a contact with a host during which it is not probed as a neighbour, in milliseconds. */
 const RECENT_CONTACT_MS = 600;
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -48,12 +48,12 @@
   getSeeds: () => readonly string[];
   /** Returns this host's entry without the fields that gossip itself sets. */
   describeSelf: () => Omit<PeerEntry, "incarnation" | "sequence">;
-  /** Returns the prefix facts to send in a round of a small fleet; each fact is returned once. */
+  /** Returns the prefix updates to send in a round of a small fleet; each update is returned once. */
   takeFacts: () => PrefixUpdate[];
-  /** Whether unsent prefix facts remain. */
+  /** Whether unsent prefix updates remain. */
   hasFacts: () => boolean;
-  /** Called with the prefix facts of another host. */
-  onFacts: (facts: readonly PrefixUpdate[]) => void;
+  /** Called with the prefix updates of another host. */
+  onFacts: (updates: readonly PrefixUpdate[]) => void;
   /** Called with each new entry of a host and the time at which the host sent it, as far as is known. If given,
    * `requestedAt` is a time of this host's clock before which the entry was not composed. */
   onEntry: (
@@ -242,7 +242,7 @@
     const now = this.timeline.read();
     const { isLarge } = this.hosts;
     if (this.self.updatePhase()) this.rumours.add(this.self.name);
-    const facts = isLarge ? [] : this.options.takeFacts();
+    const prefixUpdates = isLarge ? [] : this.options.takeFacts();
     const isRelaying = this.round <= ROUNDS_PER_RELAY ||
       this.round % ROUNDS_PER_RELAY === 0;
     const { live, reconnects } = this.targets.choose(this.round, now);
@@ -252,10 +252,10 @@
         const relayedHosts = isRelaying
           ? this.composer.selectRelayedHosts(address)
           : [];
-        this.sendMessage(address, { facts, relayedHosts });
+        this.sendMessage(address, { prefixUpdates, relayedHosts });
       }
     }
-    for (const address of reconnects) this.sendMessage(address, { facts });
+    for (const peer of reconnects) this.sendMessage(peer, { prefixUpdates });
     if (!isLarge && this.options.hasFacts()) this.announce();
   }
 
@@ -276,9 +276,9 @@
 
   private handleMessage(message: GossipMessage): void {
     const now = this.timeline.read();
-    const { sender, sentAt, echo, facts } = message;
+    const { sender, sentAt, echo, prefixUpdates } = message;
     const address = sender.gossipAddress;
-    if (facts.length > 0) this.options.onFacts(facts);
+    if (prefixUpdates.length > 0) this.options.onFacts(prefixUpdates);
     const knownIncarnation = this.hosts.getHost(address)?.entry.incarnation;
     if (this.hosts.applyDirectEntry(sender, sentAt, now)) {
       const isValidEcho = echo !== undefined && echo <= now;
--- a/src/peers/gossip_composer.ts
+++ b/src/peers/gossip_composer.ts
@@ -27,7 +27,7 @@
 export interface GossipContent {
   /** Nonce that the receiver is to acknowledge. */
   probeNonce?: number;
-  facts?: readonly PrefixUpdate[];
+  prefixUpdates?: readonly PrefixUpdate[];
   /** Hosts whose entries are relayed. */
   relayedHosts?: readonly KnownHost[];
 }
@@ -47,14 +47,14 @@
    * @param content Optional content. */
   compose(address: string, content: GossipContent): GossipMessage {
     const { hosts, self, rumours, timeline } = this.options;
-    const { probeNonce = 0, facts = [], relayedHosts = [] } = content;
+    const { probeNonce = 0, prefixUpdates = [], relayedHosts = [] } = content;
     const now = timeline.read();
     const { isLarge } = hosts;
     return {
       sender: self.getEntry(),
       sentAt: now,
       echo: hosts.getHost(address)?.lastRemoteSentAt,
-      facts: [...facts],
+      prefixUpdates: [...prefixUpdates],
       relayedEntries: relayedHosts.map(({ entry, lastSeenAt }) => ({
         entry,
         agoMs: now - lastSeenAt,
--- a/src/peers/gossip_schema.ts
+++ b/src/peers/gossip_schema.ts
@@ -63,8 +63,8 @@
   sentAt: list[1],
   /** The latest `sentAt` that the sender has received from the receiver, if any. */
   echo: list[2] ?? undefined,
-  /** Which engines were sent which parts of prompts, and the tokens that they had to read; each a `PrefixFact`. */
-  facts: list[3],
+  /** Which engines were sent which parts of prompts, and the tokens that they had to prefill; each a `PrefixUpdate`. */
+  prefixUpdates: list[3],
   /** Latest entries of other hosts that the sender has, with their ages. */
   relayedEntries: list[4].map(([entry, agoMs]) => ({ entry, agoMs })),
   /** Nonce of the probe that the receiver acknowledges; 0 if the message is not a probe. */
--- a/src/peers/host_pull.ts
+++ b/src/peers/host_pull.ts
@@ -9,7 +9,7 @@
 
 /** Reads the host table of another host.
  * @param host The other host.
- * @param done Called with the states read, or with undefined if the other host did not answer. */
+ * @param done Called with the states read, or with undefined if the other host did not respond. */
 export type ReadHosts = (
   host: PeerEntry,
   done: (states: readonly HostState[] | undefined) => void,
--- a/src/peers/message_schemas.ts
+++ b/src/peers/message_schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of the number lists that are shared by several messages between hosts. */
+/** Schemas of the number lists in messages between hosts. */
 import { z } from "zod";
 
 /** List of any numbers, checked in one step, since such lists are decoded by the thousand. */
@@ -9,12 +9,12 @@
 /** In-flight requests of a host: each a `LoadCount`. */
 export const loadCountsSchema = z.array(z.tuple([z.number(), z.number()]));
 
-/** Which engines were sent which parts of prompts: each a `PrefixFact`. */
+/** Which engines were sent which parts of prompts: each a `PrefixUpdate`. */
 export const prefixFactsSchema = z.array(
   z.tuple([z.number(), z.number(), z.number()]),
 );
 
-/** Which engines hold a part: each a `PrefixSighting`. */
-export const prefixSightingsSchema = z.array(
+/** Which engines have a part cached: each a `PrefixHolder`. */
+export const prefixHoldersSchema = z.array(
   z.tuple([z.number(), z.number()]),
 );
--- a/src/peers/msgpack_client.ts
+++ b/src/peers/msgpack_client.ts
@@ -15,7 +15,7 @@
   }
 
   /** Creates a client.
-   * @param timeoutMs Timeout of a whole response, in milliseconds. */
+   * @param timeoutMs Timeout of a complete response, in milliseconds. */
   static create(timeoutMs: number): MsgpackClient {
     return new MsgpackClient(timeoutMs);
   }
--- a/src/peers/pack_gossip.ts
+++ b/src/peers/pack_gossip.ts
@@ -18,7 +18,7 @@
     packEntry(message.sender),
     message.sentAt,
     message.echo ?? null,
-    message.facts,
+    message.prefixUpdates,
     message.relayedEntries.map(({ entry, agoMs }) => [
       packEntry(entry),
       Math.round(agoMs),
--- a/src/peers/prefix_directory.ts
+++ b/src/peers/prefix_directory.ts
@@ -3,12 +3,12 @@
 import type { PrefixIndex, PrefixUpdate } from "../upstreams/prefix_index.ts";
 import type { DatagramSocket } from "./datagram_socket.ts";
 
-/** Directory hosts per part, so that one of them may fail. */
-const REPLICAS = 2;
-/** Time for which facts are batched before they are sent, in milliseconds. */
+/** Number of directory hosts of each part, so that one of them may fail. */
+const DIRECTORY_HOSTS = 2;
+/** Time for which prefix updates are batched before they are sent, in milliseconds. */
 const BATCH_DELAY_MS = 15;
-/** Maximum number of facts in a datagram, so that it fits into one packet. */
-const MAX_FACTS_PER_DATAGRAM = 80;
+/** Maximum number of prefix updates in a datagram, so that it fits into one packet. */
+const MAX_UPDATES_PER_DATAGRAM = 80;
 /** Timeout of a lookup for which a request waits, in milliseconds: several round-trip times within a region, and short
  * compared with the latency objectives of streams. */
 const LOOKUP_TIMEOUT_MS = 15;
@@ -32,9 +32,9 @@
   resolve: () => void;
 }
 
-/** Distributed directory of the engines that hold a part of a prompt, for large fleets. Consistent hashing assigns each
- * part to two directory hosts; hosts that send the part to an engine publish that to them, and other hosts look it up
- * there. */
+/** Distributed directory of the engines that have a part of a prompt cached, for large fleets. Consistent
+ * hashing assigns each part to two directory hosts; hosts that send the part to an engine publish a prefix update to
+ * them, and other hosts look it up there. */
 export class PrefixDirectory {
   private readonly waiting = new Map<number, PendingLookup>();
   private readonly batches = new Map<string, PrefixUpdate[]>();
@@ -46,23 +46,23 @@
   private constructor(private readonly options: PrefixDirectoryOptions) {
     const { socket, prefixes } = options;
     socket.handle(
-      "prefix_facts",
-      ({ facts }) => prefixes.applyUpdates(facts, readClock()),
+      "prefix_updates",
+      ({ updates }) => prefixes.applyUpdates(updates, readClock()),
     );
     socket.handle("prefix_lookup_request", ({ lookupId, part }, sender) => {
-      const sightings = prefixes.getHolders(part, readClock());
+      const holders = prefixes.getHolders(part, readClock());
       socket.send(sender, {
         type: "prefix_lookup_response",
         lookupId,
-        sightings,
+        holders,
       });
     });
-    socket.handle("prefix_lookup_response", ({ lookupId, sightings }) => {
+    socket.handle("prefix_lookup_response", ({ lookupId, holders }) => {
       const lookup = this.waiting.get(lookupId);
       if (!lookup) return;
-      prefixes.mergeHolders(lookup.part, sightings, readClock());
+      prefixes.mergeHolders(lookup.part, holders, readClock());
       lookup.responsesLeft -= 1;
-      const isDone = sightings.length > 0 || lookup.responsesLeft === 0;
+      const isDone = holders.length > 0 || lookup.responsesLeft === 0;
       if (isDone) lookup.resolve();
     });
   }
@@ -73,29 +73,32 @@
     return new PrefixDirectory(options);
   }
 
-  /** Publishes facts to the directory hosts of their parts, in batches.
-   * @param facts The facts. */
-  publish(facts: readonly PrefixUpdate[]): void {
-    for (const fact of facts) {
-      for (const replica of this.getReplicas(fact[0])) {
-        const batch = this.batches.get(replica) ?? [];
-        batch.push(fact);
-        this.batches.set(replica, batch);
+  /** Publishes prefix updates to the directory hosts of their parts, in batches.
+   * @param updates The updates. */
+  publish(updates: readonly PrefixUpdate[]): void {
+    for (const update of updates) {
+      for (const directoryHost of this.getDirectoryHosts(update[0])) {
+        const batch = this.batches.get(directoryHost) ?? [];
+        batch.push(update);
+        this.batches.set(directoryHost, batch);
       }
     }
     this.batchTimer ??= setTimeout(() => this.sendBatches(), BATCH_DELAY_MS);
   }
 
   /** Looks up a part at its directory hosts and records the result in the prefix index. The promise resolves on the
-   * first response with sightings, when all have responded, or on timeout. Returns undefined if no lookup is needed,
-   * because this host knows of an engine with the part, or possible, because the part has no other directory host.
+   * first response that names holders, when all have responded, or on timeout. Returns undefined if no lookup is
+   * needed, because this host knows of an engine that has the part cached, or if none is possible, because this host is
+   * the only directory host of the part.
    * @param part Hash of the part's id. */
   lookUp(part: number): Promise<void> | undefined {
     if (this.options.prefixes.isCachedAnywhere(part, readClock())) {
       return undefined;
     }
-    const replicas = this.getReplicas(part);
-    return replicas.length === 0 ? undefined : this.sendLookup(part, replicas);
+    const directoryHosts = this.getDirectoryHosts(part);
+    return directoryHosts.length === 0
+      ? undefined
+      : this.sendLookup(part, directoryHosts);
   }
 
   /** Cancels the pending batch and resolves pending lookups. */
@@ -106,7 +109,7 @@
 
   private async sendLookup(
     part: number,
-    replicas: readonly string[],
+    directoryHosts: readonly string[],
   ): Promise<void> {
     this.lastLookupId += 1;
     const lookupId = this.lastLookupId;
@@ -114,12 +117,12 @@
     await new Promise<void>((resolve) => {
       this.waiting.set(lookupId, {
         part,
-        responsesLeft: replicas.length,
+        responsesLeft: directoryHosts.length,
         resolve,
       });
       timer = setTimeout(resolve, LOOKUP_TIMEOUT_MS);
-      for (const replica of replicas) {
-        this.options.socket.send(replica, {
+      for (const directoryHost of directoryHosts) {
+        this.options.socket.send(directoryHost, {
           type: "prefix_lookup_request",
           lookupId,
           part,
@@ -132,15 +135,15 @@
 
   private sendBatches(): void {
     this.batchTimer = undefined;
-    for (const [replica, facts] of this.batches) {
+    for (const [directoryHost, updates] of this.batches) {
       for (
         let first = 0;
-        first < facts.length;
-        first += MAX_FACTS_PER_DATAGRAM
+        first < updates.length;
+        first += MAX_UPDATES_PER_DATAGRAM
       ) {
-        this.options.socket.send(replica, {
-          type: "prefix_facts",
-          facts: facts.slice(first, first + MAX_FACTS_PER_DATAGRAM),
+        this.options.socket.send(directoryHost, {
+          type: "prefix_updates",
+          updates: updates.slice(first, first + MAX_UPDATES_PER_DATAGRAM),
         });
       }
     }
@@ -148,15 +151,15 @@
   }
 
   /** Returns the gossip addresses of the directory hosts of a part, without this host. */
-  private getReplicas(part: number): string[] {
+  private getDirectoryHosts(part: number): string[] {
     const { ownAddress, getHosts } = this.options;
     const now = readClock();
     if (now - this.ringBuiltAt > RING_CACHE_MS) {
       this.ring = ConsistentHashRing.create([...getHosts(), ownAddress]);
       this.ringBuiltAt = now;
     }
-    return this.ring.getSuccessors(part, REPLICAS).filter((replica) =>
-      replica !== ownAddress
+    return this.ring.getSuccessors(part, DIRECTORY_HOSTS).filter((address) =>
+      address !== ownAddress
     );
   }
 }
--- a/src/peers/publication_status_poller.ts
+++ b/src/peers/publication_status_poller.ts
@@ -38,13 +38,13 @@
   private constructor(
     private readonly options: PublicationStatusPollerOptions,
   ) {
-    const { socket, getStatus: getWord, timeline = processTimeline } = options;
+    const { socket, getStatus, timeline = processTimeline } = options;
     this.timeline = timeline;
     socket.handle("publication_status_request", ({ requestedAt }, sender) => {
       socket.send(sender, {
         type: "publication_status_response",
         requestedAt,
-        status: getWord(),
+        status: getStatus(),
       });
     });
     socket.handle("publication_status_response", (response, sender) => {
--- a/tests/peers/build_gossip.ts
+++ b/tests/peers/build_gossip.ts
@@ -9,7 +9,7 @@
       sender: buildEntry({ id: "g-1", loads: [[7, 2]] }),
       sentAt: 12.5,
       echo: 3.25,
-      facts: [[1, 2, 300]],
+      prefixUpdates: [[1, 2, 300]],
       relayedEntries: [{ entry: buildEntry({ id: "g-2" }), agoMs: 40 }],
       probeNonce: 17,
       hostsDigest: 99,
--- a/tests/peers/datagram_codec_test.ts
+++ b/tests/peers/datagram_codec_test.ts
@@ -18,9 +18,9 @@
     requestedAt: 99.5,
     status: { digest: 5, revision: 6, publicationAgeMs: 700 },
   },
-  "prefix facts": {
-    type: "prefix_facts",
-    facts: [[1, 2, 3], [4, 5, 0]],
+  "prefix updates": {
+    type: "prefix_updates",
+    updates: [[1, 2, 3], [4, 5, 0]],
   },
   "prefix lookup request": {
     type: "prefix_lookup_request",
@@ -30,7 +30,7 @@
   "prefix lookup response": {
     type: "prefix_lookup_response",
     lookupId: 3,
-    sightings: [[9, 120]],
+    holders: [[9, 120]],
   },
   "probe acknowledgement": {
     type: "probe_ack",
--- a/tests/peers/datagram_fuzz_test.ts
+++ b/tests/peers/datagram_fuzz_test.ts
@@ -8,7 +8,7 @@
 import { buildGossip } from "./build_gossip.ts";
 
 const GOSSIP = encodeDatagram(buildGossip());
-const CRASH_WORDS = encodeDatagram({
+const CRASH_REPORTS = encodeDatagram({
   type: "crash_words",
   words: [{ fingerprint: 5, agoMs: 1, crashes: [[7, 2]], excused: [] }],
 });
@@ -20,11 +20,11 @@
   fc.tuple(fc.integer({ min: 0, max: 7 }), fc.jsonValue({ maxDepth: 4 })).map(
     ([type, body]) => pack([type, body]),
   ),
-  fc.tuple(fc.constantFrom(GOSSIP, CRASH_WORDS), fc.nat({ max: 200 })).map((
+  fc.tuple(fc.constantFrom(GOSSIP, CRASH_REPORTS), fc.nat({ max: 200 })).map((
     [datagram, length],
   ) => datagram.subarray(0, length)),
   fc.tuple(
-    fc.constantFrom(GOSSIP, CRASH_WORDS),
+    fc.constantFrom(GOSSIP, CRASH_REPORTS),
     fc.nat({ max: 200 }),
     fc.nat({ max: 255 }),
   ).map(([datagram, index, byte]) => {
--- a/tests/peers/gossip_test.ts
+++ b/tests/peers/gossip_test.ts
@@ -25,8 +25,8 @@
 }
 
 for (const size of SIZES) {
-  // Guards against flapping: in a fleet of 24, hosts repeatedly went missing from the addresses of others, 14 % of them at
-  // any moment.
+  // Guards against flapping: in a fleet of 24, hosts repeatedly went missing from the addresses of others, 14 % of them
+  // at any moment.
   test(`${size} hosts know each other before callers come, and stay live for each other`, (t) => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed, size);
--- a/tests/peers/prefix_directory_test.ts
+++ b/tests/peers/prefix_directory_test.ts
@@ -35,7 +35,7 @@
     .length;
 }
 
-test("facts are published to at most two hosts, and every other host finds them by a lookup", async (t) => {
+test("prefix updates are published to at most two hosts, and every other host finds them by a lookup", async (t) => {
   await withSockets(HOSTS, async (sockets) => {
     const hosts = startHosts(sockets);
     const [publisher] = hosts;
--- a/tests/peers/virtual_fleet.ts
+++ b/tests/peers/virtual_fleet.ts
@@ -147,7 +147,7 @@
       getSources: () =>
         this.findAddresses(
           gossip,
-          this.buildWatchOrder(gossip, id).getSources(),
+          this.buildWatcherRanking(gossip, id).getSources(),
         ),
       getStatus: () => ({ digest: 1, revision: 1, publicationAgeMs: 10 }),
       onStatus: () => undefined,
@@ -230,7 +230,7 @@
     return this.hosts.get(from)?.part === this.hosts.get(to)?.part;
   }
 
-  private buildWatchOrder(gossip: Gossip, id: string): WatcherRanking {
+  private buildWatcherRanking(gossip: Gossip, id: string): WatcherRanking {
     const live = gossip.hosts.getLive(this.timeline.read());
     return WatcherRanking.create(id, live.map(({ entry }) => entry.id));
   }
