--- a/src/forward/admit_call.ts
+++ b/src/forward/admit_call.ts
@@ -48,13 +48,13 @@
   if (!route) {
     return Err(Failure.create("not_found", `${headers.host} ${path}`));
   }
-  const holder = findKeyHolder(routes, route, options);
-  if (holder.isErr()) return holder;
-  return Ok(buildCall(options, headers.requestId, route, holder.value));
+  const owner = findKeyOwner(routes, route, options);
+  if (owner.isErr()) return owner;
+  return Ok(buildCall(options, headers.requestId, route, owner.value));
 }
 
-/** Finds the customer of the request's key; undefined if the route needs no key. */
-function findKeyHolder(
+/** Finds the owner of the request's key; undefined if the route needs no key. */
+function findKeyOwner(
   routes: RouteTable,
   route: Route,
   options: AdmissionOptions,
@@ -64,8 +64,8 @@
   if (!options.acceptsKeys) {
     return Err(Failure.create("belief_too_old", "keys are not honoured now"));
   }
-  const holder = key === undefined ? undefined : routes.getApiKeyOwner(key);
-  if (holder) return Ok(holder);
+  const owner = key === undefined ? undefined : routes.getApiKeyOwner(key);
+  if (owner) return Ok(owner);
   return Err(
     Failure.create("unknown_key", key === undefined ? "no key" : "unknown"),
   );
@@ -75,7 +75,7 @@
   options: AdmissionOptions,
   requestId: string,
   route: Route,
-  holder: ApiKeyOwner | undefined,
+  owner: ApiKeyOwner | undefined,
 ): AdmittedCall {
   const { headers, method, path, receivedAt } = options;
   const sharedParts = findSharedParts(headers);
@@ -87,8 +87,8 @@
     headers,
     route,
     service: chooseService(route, sharedParts.at(-1)?.id ?? requestId),
-    customer: holder?.name,
-    urgency: computeUrgency(route, holder),
+    customer: owner?.name,
+    urgency: computeUrgency(route, owner),
     sharedParts: sharedParts.map(({ id, tokens }) => ({
       name: PrefixIndex.hashPartId(id),
       tokens,
@@ -106,8 +106,8 @@
   return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
 
-function computeUrgency(route: Route, holder: ApiKeyOwner | undefined): number {
-  const customerUrgency = (holder?.priority ?? 0) *
+function computeUrgency(route: Route, owner: ApiKeyOwner | undefined): number {
+  const customerUrgency = (owner?.priority ?? 0) *
     CLASSES_PER_CUSTOMER_PRIORITY;
   return Math.max(
     0,
--- a/src/forward/attempt.ts
+++ b/src/forward/attempt.ts
@@ -40,7 +40,7 @@
 
 /** One attempt to send a request to one upstream, until the response ends or the attempt fails. */
 export class Attempt {
-  private readonly channel: UpstreamConnection;
+  private readonly connection: UpstreamConnection;
   /** Monotonic milliseconds at which the first byte left this host. */
   private sentAt: number | undefined;
   private hasHead = false;
@@ -59,7 +59,7 @@
     private readonly codec: HeaderCodec,
     private readonly listener: AttemptListener,
   ) {
-    this.channel = upstream.connections.acquire();
+    this.connection = upstream.connections.acquire();
     upstream.ownRequests += 1;
     this.isTrial = upstream.availability.beginRequest();
   }
@@ -124,7 +124,7 @@
   private send(request: AttemptRequest): void {
     const { method, path, headers, body, requestId } = request;
     try {
-      this.channel.send(
+      this.connection.send(
         { method: method as "GET", path, headers, body: body ?? null },
         {
           onRequestStart: (controller) => this.onRequestStart(controller),
@@ -189,16 +189,16 @@
   }
 
   private onEnd(): void {
-    if (this.channel.wasReset) return this.fail("reset within the answer");
+    if (this.connection.wasReset) return this.fail("reset within the answer");
     if (!this.finish()) return;
-    if (this.isReusable) this.upstream.connections.release(this.channel);
-    else this.channel.close();
+    if (this.isReusable) this.upstream.connections.release(this.connection);
+    else this.connection.close();
     this.listener.onEnd();
   }
 
   private fail(detail: string): void {
     if (!this.finish()) return;
-    this.channel.close();
+    this.connection.close();
     if (this.isAbandoned) return;
     this.listener.onFailure(this.classifyFailure(), detail);
   }
@@ -215,7 +215,7 @@
   }
 
   private close(): void {
-    if (this.finish()) this.channel.close();
+    if (this.finish()) this.connection.close();
   }
 
   /** Ends the attempt; returns false if it had already ended. */
--- a/src/forward/call_deadline.ts
+++ b/src/forward/call_deadline.ts
@@ -1,7 +1,7 @@
 import { readClock } from "../clock/clock.ts";
 import type { RoutedCall } from "./routed_call.ts";
 
-/** Deadline of a call: the caller's deadline or the time-out of its route, whichever comes first. */
+/** Deadline of a call: the caller's deadline or the timeout of its route, whichever comes first. */
 export class CallDeadline {
   private timer: NodeJS.Timeout | undefined;
   private timeoutMs: number;
@@ -23,13 +23,13 @@
 
   /** Remaining time in milliseconds. */
   get remainingMs(): number {
-    const { receivedAt, callerDeadlineAt: callerEndsAt } = this.call;
-    const deadlineAt = Math.min(callerEndsAt, receivedAt + this.timeoutMs);
+    const { receivedAt, callerDeadlineAt } = this.call;
+    const deadlineAt = Math.min(callerDeadlineAt, receivedAt + this.timeoutMs);
     return deadlineAt - readClock();
   }
 
-  /** Applies a changed time-out of the route.
-   * @param timeoutMs The time-out in milliseconds. */
+  /** Applies a changed timeout of the route.
+   * @param timeoutMs The timeout in milliseconds. */
   change(timeoutMs: number): void {
     if (timeoutMs === this.timeoutMs) return;
     this.timeoutMs = timeoutMs;
--- a/src/forward/call_forwarder.ts
+++ b/src/forward/call_forwarder.ts
@@ -69,7 +69,7 @@
     return forwarder;
   }
 
-  /** Applies a changed route; a shorter time-out also applies to calls in progress.
+  /** Applies a changed route; a shorter timeout also applies to calls in progress.
    * @param route The current route; undefined if it was removed. */
   applyRoute(route: Route | undefined): void {
     if (!this.isFinished && route) this.deadline.change(route.timeoutMs);
@@ -169,12 +169,12 @@
 
   private send(upstream: Upstream, request: AttemptRequest): void {
     this.attempt = Attempt.create(upstream, request, this.context.codec, {
-      onHead: (status, answer) => this.onHead(status, answer),
+      onHead: (status, headers) => this.onHead(status, headers),
       onBytes: (bytes) => this.onBytes(bytes),
       onEnd: () => this.onEnd(),
       onFailure: (failure, detail) => this.onFailure(failure, detail),
-      onLateDecline: (status, answer) =>
-        this.recordDecline(upstream, status, answer),
+      onLateDecline: (status, headers) =>
+        this.recordDecline(upstream, status, headers),
     });
   }
 
--- a/src/forward/call_forwarder_context.ts
+++ b/src/forward/call_forwarder_context.ts
@@ -40,7 +40,7 @@
   /** Takes a retry from the budget of a service; returns whether one was left. */
   spendRetry: (service: string) => boolean;
   /** Records what an attempt shows about the health of its upstream. */
-  recordHealth: (upstream: Upstream, sign: HealthSignal) => void;
+  recordHealth: (upstream: Upstream, signal: HealthSignal) => void;
   /** Records that the address of an upstream now belongs to another one. */
   recordMoved: (upstream: Upstream) => void;
 }
@@ -53,7 +53,7 @@
   recordInterruption: (
     upstream: Upstream,
     fingerprint: number,
-    isAnsweredInPart: boolean,
+    hasPartialResponse: boolean,
   ) => void;
   /** Records a request that an upstream ran to completion, whatever the response status. */
   recordCompletion: (fingerprint: number) => void;
--- a/src/forward/call_server.ts
+++ b/src/forward/call_server.ts
@@ -13,13 +13,13 @@
 import type { CallerLimits } from "../published/configuration_schema.ts";
 
 /** Limit of Node's header parser in bytes. It is above the published limit, which is checked after parsing so that the
- * caller gets the response of the answer table. */
+ * caller gets the system's own error response. */
 const HEADER_PARSER_LIMIT_BYTES = 128 * 1024;
-/** Interval at which Node checks connections for header and request time-outs, in milliseconds. */
+/** Interval at which Node checks connections for header and request timeouts, in milliseconds. */
 const TIMEOUT_CHECK_INTERVAL_MS = 500;
-/** Time for which an idle connection is kept open beyond the idle time-out that callers know, in milliseconds. */
+/** Time for which an idle connection is kept open beyond the idle timeout that callers know, in milliseconds. */
 const IDLE_TIMEOUT_MARGIN_MS = 1_000;
-/** Time-out for receiving a complete request, in milliseconds: equal to the time-out of the largest routes. */
+/** Timeout for receiving a complete request, in milliseconds: equal to the timeout of the largest routes. */
 const REQUEST_TIMEOUT_MS = 20_000;
 
 /** Error kinds by Node's error code; any other code is a malformed request. */
--- a/src/forward/caller_response.ts
+++ b/src/forward/caller_response.ts
@@ -49,7 +49,7 @@
 
   /** Writes bytes of the stream; returns whether more can be written immediately.
    * @param bytes The bytes.
-   * @param onDrain If not, called once more can be written. */
+   * @param onDrain Called when more can be written, if that is not possible immediately. */
   write(bytes: Buffer, onDrain: () => void): boolean {
     if (this.isFinished) return true;
     const canWriteMore = this.response.write(bytes);
--- a/src/forward/silence_detector.ts
+++ b/src/forward/silence_detector.ts
@@ -85,7 +85,7 @@
     clearTimeout(this.overdueTimer);
   }
 
-  /** Starts the timer. An unchanged time-out only refreshes it, since this is done for each event of a stream. */
+  /** Starts the timer. An unchanged timeout only refreshes it, since this is done for each event of a stream. */
   private startTimer(timeoutMs: number): void {
     if (this.isClosed) return;
     if (this.timer && timeoutMs === this.timeoutMs) {
--- a/tests/forward/attempt_budget_test.ts
+++ b/tests/forward/attempt_budget_test.ts
@@ -23,15 +23,15 @@
 
 test("attempts that reach no upstream are retried three times", (t) => {
   const { budget } = createBudget(0);
-  let repeats = 0;
+  let retries = 0;
   for (
     budget.recordNotRun();
     budget.allowsRetryAfterUnsent();
     budget.recordNotRun()
   ) {
-    repeats += 1;
+    retries += 1;
   }
-  t.is(repeats, 3);
+  t.is(retries, 3);
 });
 
 test("a retry after a declined attempt is taken from the service's budget", (t) => {
--- a/tests/forward/attempt_test.ts
+++ b/tests/forward/attempt_test.ts
@@ -19,14 +19,14 @@
 
 /** How an attempt ended. */
 type AttemptResult =
-  | { type: "whole"; body: string }
+  | { type: "complete"; body: string }
   | { type: "failed"; failure: string; detail: string };
 
 /** Starts a TCP server that calls a function for the first bytes of each connection. */
-async function serveRaw(answer: (socket: Socket) => void): Promise<Server> {
+async function serveRaw(respond: (socket: Socket) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
-    socket.once("data", () => answer(socket));
+    socket.once("data", () => respond(socket));
   });
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -40,7 +40,7 @@
       onHead: () => undefined,
       onBytes: (bytes) => parts.push(bytes),
       onEnd: () =>
-        resolve({ type: "whole", body: Buffer.concat(parts).toString() }),
+        resolve({ type: "complete", body: Buffer.concat(parts).toString() }),
       onFailure: (failure, detail) =>
         resolve({ type: "failed", failure, detail }),
       onLateDecline: () => undefined,
@@ -61,9 +61,9 @@
 }
 
 async function sendAttemptTo(
-  answer: (socket: Socket) => void,
+  respond: (socket: Socket) => void,
 ): Promise<AttemptResult> {
-  const server = await serveRaw(answer);
+  const server = await serveRaw(respond);
   const upstream = createUpstream((server.address() as AddressInfo).port);
   try {
     return await sendAttempt(upstream);
@@ -80,7 +80,7 @@
   const result = await sendAttemptTo((socket) =>
     socket.end(`${RESPONSE_HEAD}Connection: close\r\n\r\nall of it`)
   );
-  t.deepEqual(result, { type: "whole", body: "all of it" });
+  t.deepEqual(result, { type: "complete", body: "all of it" });
 });
 
 test("a response without a content length is incomplete when its connection is reset", async (t) => {
@@ -137,19 +137,19 @@
 
 /** How an abandoned attempt ended: with a late decline or with the close of its connection. */
 type AbandonedResult =
-  | { type: "declined"; status: number; answer: ResponseHeaders }
+  | { type: "declined"; status: number; headers: ResponseHeaders }
   | { type: "closed" };
 
 /** Sends a request, abandons the attempt once the upstream has received it, and sends the response afterwards. */
 async function abandonAttempt(
-  answer: string,
+  response: string,
 ): Promise<{ upstream: Upstream; result: AbandonedResult; calls: string[] }> {
   const calls: string[] = [];
   const { promise, resolve } = createDeferred<AbandonedResult>();
   const server = await serveRaw((socket) => {
     socket.once("close", () => resolve({ type: "closed" }));
     attempt.abandon();
-    setImmediate(() => socket.write(answer));
+    setImmediate(() => socket.write(response));
   });
   const upstream = createUpstream((server.address() as AddressInfo).port);
   const attempt = Attempt.create(upstream, REQUEST, platformHeaderCodec, {
@@ -157,8 +157,8 @@
     onBytes: () => calls.push("bytes"),
     onEnd: () => calls.push("end"),
     onFailure: () => calls.push("failure"),
-    onLateDecline: (status, answer) =>
-      resolve({ type: "declined", status, answer }),
+    onLateDecline: (status, headers) =>
+      resolve({ type: "declined", status, headers }),
   });
   const result = await promise;
   upstream.close();
--- a/tests/forward/call_forwarder_test.ts
+++ b/tests/forward/call_forwarder_test.ts
@@ -182,9 +182,9 @@
     mayRetry: () => recorded.length === 0,
     recordInterruption: (
       upstream: { id: string },
-      _request: number,
-      part: boolean,
-    ) => void recorded.push(`${upstream.id} ${part}`),
+      _fingerprint: number,
+      hasPartialResponse: boolean,
+    ) => void recorded.push(`${upstream.id} ${hasPartialResponse}`),
     recordCompletion: () => void recorded.push("served"),
   };
 }
@@ -267,12 +267,12 @@
 });
 
 test("the availability reported by another upstream at the same address is not recorded for the intended one", async (t) => {
-  let meant: Upstream | undefined;
+  let intended: Upstream | undefined;
   const moved: Behaviour = (_request, response) => {
     response.writeHead(421, { "Server-Leaving": "1" }).end();
   };
   await forwardCall([moved, respondsOk], {}, {
-    prepare: ([first]) => meant = first,
+    prepare: ([first]) => intended = first,
   });
-  t.false(meant!.isLeaving);
+  t.false(intended!.isLeaving);
 });
--- a/tests/forward/forward_call.ts
+++ b/tests/forward/forward_call.ts
@@ -26,6 +26,7 @@
   isTruncated: boolean;
   outcome: CallOutcome;
 }
+
 /** Options that differ from a usual call. */
 export interface ForwardCallOptions {
   /** Called once the first attempt has been started. */
@@ -130,8 +131,8 @@
   const ended = createDeferred<CallOutcome>();
   const loads = LoadCounts.create();
   const callerFacingServer = createServer((_request, response) => {
-    const answer = CallerResponse.create(response, () => false);
-    const forwarder = CallForwarder.create(call, answer, {
+    const callerResponse = CallerResponse.create(response, () => false);
+    const forwarder = CallForwarder.create(call, callerResponse, {
       logger: pino({ level: "silent" }),
       codec: platformHeaderCodec,
       choose: (_call, tried) => {
