--- a/src/gateway/call_handler.ts
+++ b/src/gateway/call_handler.ts
@@ -48,15 +48,15 @@
   isLeaving: () => boolean;
   /** Called once for each admitted request, before its first attempt. */
   onRequestAdmitted: (service: string) => void;
-  /** Looks up which engines have a prompt part cached; returns undefined if no other host needs to be asked. */
+  /** Looks up which engines have a prompt part cached, by its hash; returns undefined if no other host is asked. */
   lookUpPart: (part: number) => Promise<void> | undefined;
   upstreamAccess: UpstreamAccess;
   guard: CrashGuard;
 }
 
-/** Admits callers' requests, reads their bodies and starts their runs. */
+/** Admits callers' requests, reads their bodies and forwards them to upstreams. */
 export class CallHandler {
-  private readonly runs = new Set<CallForwarder>();
+  private readonly forwarders = new Set<CallForwarder>();
   private pendingAdmissions = 0;
 
   private constructor(private readonly options: CallHandlerOptions) {}
@@ -69,7 +69,7 @@
 
   /** Number of requests that have not been answered. */
   get openCalls(): number {
-    return this.runs.size + this.pendingAdmissions;
+    return this.forwarders.size + this.pendingAdmissions;
   }
 
   /** Handles a request of a caller.
@@ -78,41 +78,52 @@
   handle(request: IncomingMessage, response: ServerResponse): void {
     const receivedAt = readClock();
     const headers = this.options.codec.readCaller(request.rawHeaders);
-    const answer = CallerResponse.create(response, this.options.isLeaving);
+    const callerResponse = CallerResponse.create(
+      response,
+      this.options.isLeaving,
+    );
     this.pendingAdmissions += 1;
-    void this.admitAndRun(request, response, headers, answer, receivedAt)
+    void this.admitAndForward(
+      request,
+      response,
+      headers,
+      callerResponse,
+      receivedAt,
+    )
       .finally(
         () => this.pendingAdmissions -= 1,
       );
   }
 
-  /** Applies a configuration to the requests in progress.
-   * @param routes The routes in force. */
+  /** Applies a configuration to the calls in progress.
+   * @param routes The current routes. */
   applyRoutes(routes: RouteTable): void {
-    for (const run of this.runs) {
-      run.applyRoute(routes.getRouteByName(run.call.route.name));
+    for (const forwarder of this.forwarders) {
+      forwarder.applyRoute(
+        routes.getRouteByName(forwarder.call.route.name),
+      );
     }
   }
 
-  /** Ends the unanswered runs of a request that is held from now on because it crashes upstreams.
+  /** Refuses the unanswered calls whose request is held from now on because it crashes upstreams.
    * @param fingerprint Fingerprint of the request. */
-  endHeldRuns(fingerprint: number): void {
-    for (const run of [...this.runs]) {
-      if (run.call.fingerprint === fingerprint) run.refuseAsHeld();
+  refuseHeldCalls(fingerprint: number): void {
+    for (const each of [...this.forwarders]) {
+      if (each.call.fingerprint === fingerprint) each.refuseAsHeld();
     }
   }
 
-  /** Fails the attempts on an upstream process that no longer runs.
-   * @param upstream The upstream as it was before its restart. */
+  /** Fails the attempts in progress at an instance of an upstream that no longer runs.
+   * @param upstream The instance before the restart. */
   failAttemptsOn(upstream: Upstream): void {
-    for (const run of [...this.runs]) run.failAttemptAt(upstream);
+    for (const each of [...this.forwarders]) each.failAttemptAt(upstream);
   }
 
-  private async admitAndRun(
+  private async admitAndForward(
     request: IncomingMessage,
     response: ServerResponse,
     headers: CallerHeaders,
-    answer: CallerResponse,
+    callerResponse: CallerResponse,
     receivedAt: number,
   ): Promise<void> {
     try {
@@ -125,10 +136,10 @@
       const body = await readBody(request, limits.maxBodyBytes);
       if (lookup) await lookup;
       if (response.destroyed) return;
-      this.start(admitted, body, answer, response);
+      this.start(admitted, body, callerResponse, response);
     } catch (thrown) {
       if (request.destroyed && !request.complete) return;
-      this.refuse(Failure.from(thrown), headers, answer, request);
+      this.refuse(Failure.from(thrown), headers, callerResponse, request);
     }
   }
 
@@ -162,7 +173,7 @@
   private start(
     admitted: AdmittedCall,
     body: Buffer,
-    answer: CallerResponse,
+    callerResponse: CallerResponse,
     response: ServerResponse,
   ): void {
     const call = buildRoutedCall(admitted, body);
@@ -171,21 +182,21 @@
     this.options.onRequestAdmitted(call.service);
     const { logger, codec, guard } = this.options;
     let isEnded = false;
-    const run = CallForwarder.create(call, answer, {
+    const forwarder = CallForwarder.create(call, callerResponse, {
       ...this.options.upstreamAccess,
       logger,
       codec,
       crashes: guard,
       onEnd: (ended, outcome) => {
         isEnded = true;
-        this.runs.delete(ended);
+        this.forwarders.delete(ended);
         this.recordEnd(call, outcome);
       },
     });
     if (isEnded) return;
-    this.runs.add(run);
+    this.forwarders.add(forwarder);
     response.once("close", () => {
-      if (!response.writableFinished) run.endForCallerGone();
+      if (!response.writableFinished) forwarder.endForCallerGone();
     });
   }
 
@@ -208,7 +219,7 @@
   private refuse(
     failure: Failure,
     headers: CallerHeaders,
-    answer: CallerResponse,
+    callerResponse: CallerResponse,
     request: IncomingMessage,
   ): void {
     this.options.metrics.recordRefusal(failure.kind);
@@ -219,7 +230,7 @@
       configuration: this.options.getRoutes()?.version,
       ageMs: Math.round(this.options.getPublicationAgeMs()),
     }, "request_refused");
-    answer.refuse(failure);
+    callerResponse.refuse(failure);
     if (!request.complete) request.resume();
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -42,7 +42,7 @@
   private readonly logger: Logger;
   private readonly metrics = GatewayMetrics.create();
   private readonly stop = GracefulStop.create();
-  private readonly published: PublicationReplica;
+  private readonly replica: PublicationReplica;
   private readonly chooser: UpstreamChooser;
   private readonly handler: CallHandler;
   private readonly guard: CrashGuard;
@@ -57,7 +57,7 @@
   private endpoints: GatewayEndpoints | undefined;
   private server: CallServer | undefined;
   private readonly stopClockWatch = onClockJump((jumpMs) => {
-    const { ageMs } = this.published;
+    const { ageMs } = this.replica;
     this.logger.warn({ jumpMs, ageMs: Math.round(ageMs) }, "time_jumped");
   });
 
@@ -68,7 +68,7 @@
     this.logger = dependencies.logger;
     this.guard = this.createGuard();
     this.chooser = this.createChooser();
-    this.published = PublicationReplica.create({
+    this.replica = PublicationReplica.create({
       logger: this.logger,
       onConfiguration: (routes) => this.applyConfiguration(routes),
       onNewEra: (era) => this.metrics.recordEra(era),
@@ -78,7 +78,7 @@
       },
     });
     this.publicationExchange = PublicationExchange.create(
-      this.published,
+      this.replica,
       this.logger,
     );
     this.prefixExchange = PrefixExchange.create(
@@ -156,7 +156,7 @@
     this.server = server;
     this.peerNetwork = peerNetwork;
     this.endpoints = endpoints;
-    if (this.published.routes) server.applyLimits(this.published.routes.limits);
+    if (this.replica.routes) server.applyLimits(this.replica.routes.limits);
     if (settings.isFirstStart) this.chooser.prefixes.markComplete();
     else void this.recoverPrefixes();
     logger.info({ address: settings.callerAddress }, "gateway_started");
@@ -182,13 +182,13 @@
       logger: this.logger,
       formatFingerprint: formatFingerprint,
       onPendingReports: () => this.peerNetwork?.announceCrashes(),
-      onHeld: (fingerprint) => this.handler.endHeldRuns(fingerprint),
-      onCrash: (upstream) => {
+      onHeld: (fingerprint) => this.handler.refuseHeldCalls(fingerprint),
+      onCrash: (instanceHash) => {
         this.metrics.recordCrash();
-        this.chooser.markCrashed(upstream);
+        this.chooser.markCrashed(instanceHash);
       },
-      onCrashReported: (upstream) => {
-        const known = this.chooser.upstreams.findByInstanceHash(upstream);
+      onCrashReported: (instanceHash) => {
+        const known = this.chooser.upstreams.findByInstanceHash(instanceHash);
         if (known) this.guard.checkReportedCrash(known);
       },
     });
@@ -198,18 +198,17 @@
     return UpstreamChooser.create({
       logger: this.logger,
       getSettings: () => this.settings,
-      getService: (name) => this.published.routes?.getService(name),
+      getService: (name) => this.replica.routes?.getService(name),
       countHosts: () => 1 + this.getLiveHosts().length,
       countBudgetHosts: () => this.peerNetwork?.countBudgetHosts() ?? 1,
-      getLapseEndsAt: () => this.published.lapseEndsAt,
+      getLapseEndsAt: () => this.replica.lapseEndsAt,
       onPrefixUpdates: () => this.peerNetwork?.announcePrefixUpdates(),
       onRestart: (before) => this.handler.failAttemptsOn(before),
-      onAvailability: (change) => this.metrics.recordAvailability(change),
-      onDrop: ({ instanceHash: shortName }) =>
-        this.guard.recordRemoval(shortName),
+      onAvailabilityChange: (change) => this.metrics.recordAvailability(change),
+      onRemove: ({ instanceHash }) => this.guard.recordRemoval(instanceHash),
       onSend: ({ basis }, { countAgeMs }) =>
         this.metrics.recordSend(basis, countAgeMs),
-      onHealthSignal: (sign) => this.metrics.recordAttempt(sign),
+      onHealthSignal: (signal) => this.metrics.recordAttempt(signal),
     });
   }
 
@@ -217,7 +216,7 @@
     return PeerNetwork.create({
       logger: this.logger,
       getSettings: () => this.settings,
-      published: this.published,
+      replica: this.replica,
       chooser: this.chooser,
       publicationExchange: this.publicationExchange,
       metrics: this.metrics,
@@ -231,7 +230,7 @@
     return PublicationWatch.create({
       logger: this.logger,
       feed: this.dependencies.feed,
-      published: this.published,
+      replica: this.replica,
       getHostId: () => this.settings.id,
       getLiveHosts: () => this.getLiveHosts(),
       mayBootstrapFromPeers: () => {
@@ -253,7 +252,7 @@
       isReady: () => this.isReady,
       isServing: () => this.isServing,
       getLiveHosts: () => this.getLiveHosts(),
-      getPublicationAgeMs: () => this.published.ageMs,
+      getPublicationAgeMs: () => this.replica.ageMs,
     });
   }
 
@@ -262,10 +261,10 @@
       logger: this.logger,
       metrics: this.metrics,
       codec: this.dependencies.codec,
-      getRoutes: () => this.published.routes,
+      getRoutes: () => this.replica.routes,
       initialRoutes: this.initialRoutes,
       mayAcceptKeys: () => this.mayAcceptKeys,
-      getPublicationAgeMs: () => this.published.ageMs,
+      getPublicationAgeMs: () => this.replica.ageMs,
       isLeaving: () => this.stop.shouldCloseConnections,
       onRequestAdmitted: (service) => this.chooser.recordRequest(service),
       lookUpPart: (part) => this.peerNetwork?.lookUpPart(part),
@@ -275,13 +274,13 @@
   }
 
   private get mayAcceptKeys(): boolean {
-    const { keyRevocationLimitMs: keyBeliefMs } = this.settings;
-    if (keyBeliefMs === undefined) return true;
-    return this.published.ageMs < keyBeliefMs * KEY_AGE_LIMIT_FRACTION;
+    const { keyRevocationLimitMs } = this.settings;
+    if (keyRevocationLimitMs === undefined) return true;
+    return this.replica.ageMs < keyRevocationLimitMs * KEY_AGE_LIMIT_FRACTION;
   }
 
   private get isReady(): boolean {
-    return this.published.routes !== undefined && !this.stop.hasStarted;
+    return this.replica.routes !== undefined && !this.stop.hasStarted;
   }
 
   /** Whether callers should send requests to this host: it is ready and its knowledge of keys is recent enough. */
--- a/src/gateway/gateway_endpoints.ts
+++ b/src/gateway/gateway_endpoints.ts
@@ -67,15 +67,15 @@
 
   private buildHandlers(): Record<string, EndpointHandlers> {
     const settings = this.options.getSettings();
-    const { discoveryProtocol: surface, publicationExchange, prefixExchange } =
+    const { discoveryProtocol, publicationExchange, prefixExchange } =
       this.options;
     return {
       [settings.readinessAddress]: {
-        [`GET ${surface.readinessPath}`]: (_request, response) =>
+        [`GET ${discoveryProtocol.readinessPath}`]: (_request, response) =>
           response.writeHead(this.options.isReady() ? 200 : 503).end(),
       },
       [settings.locateAddress]: {
-        [`GET ${surface.locatePath}`]: (_request, response) =>
+        [`GET ${discoveryProtocol.locatePath}`]: (_request, response) =>
           this.respondLocate(response),
       },
       [settings.peerAddress]: {
@@ -94,7 +94,7 @@
   }
 
   private respondLocate(response: ServerResponse): void {
-    const { callerAddress, maxLocateTtlMs: locateLifetimeLimitMs } = this
+    const { callerAddress, maxLocateTtlMs } = this
       .options.getSettings();
     const addresses = chooseAddresses({
       own: { callerAddress, isReady: this.options.isServing() },
@@ -104,7 +104,7 @@
       response.writeHead(503).end();
       return;
     }
-    const ttlMs = Math.min(LOCATE_TTL_MS, locateLifetimeLimitMs);
+    const ttlMs = Math.min(LOCATE_TTL_MS, maxLocateTtlMs);
     response.writeHead(200, { "content-type": "application/json" });
     response.end(
       this.options.discoveryProtocol.formatAddressList(addresses, ttlMs),
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -151,7 +151,7 @@
     this.datagramBytes.inc({ direction }, bytes);
   }
 
-  /** Records the configuration that is now in force.
+  /** Records that a configuration became current.
    * @param version Its version. */
   recordConfiguration(version: number): void {
     this.version.set(version);
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -23,14 +23,14 @@
   /** Returns the current settings; the gossip address, and the hall for the choice of gossip partners, are read
    * once. */
   getSettings: () => GatewaySettings;
-  published: PublicationReplica;
+  replica: PublicationReplica;
   chooser: UpstreamChooser;
   publicationExchange: PublicationExchange;
   metrics: GatewayMetrics;
   guard: CrashGuard;
   /** Returns the lifecycle phase of this host. */
   getPhase: () => PeerEntry["phase"];
-  /** Returns the ids of the hosts to query for the age of their publication. */
+  /** Returns the ids of the hosts to query for their publication status. */
   getSourceIds: () => readonly string[];
 }
 
@@ -41,7 +41,7 @@
   /** Serves the list of all known hosts to other hosts, and fetches theirs. */
   readonly hostExchange: HostExchange;
   private readonly gossip: Gossip;
-  private readonly ageQueries: PublicationStatusPoller;
+  private readonly statusPoller: PublicationStatusPoller;
   private readonly directory: PrefixDirectory;
   private readonly crashGossip: CrashGossip;
 
@@ -55,13 +55,13 @@
       () => this.gossip.getHostStates(),
     );
     this.gossip = this.createGossip(gossipAddress);
-    this.ageQueries = PublicationStatusPoller.create({
+    this.statusPoller = PublicationStatusPoller.create({
       socket,
       getSources: () => this.getGossipAddresses(options.getSourceIds()),
-      getStatus: () => this.getPublicationSummary(),
-      onStatus: (sender, summary, askedAt) => {
+      getStatus: () => this.getPublicationStatus(),
+      onStatus: (sender, status, requestedAt) => {
         const host = this.gossip.hosts.getHost(sender);
-        if (host) this.reconcilePublication(host.entry, summary, askedAt);
+        if (host) this.reconcile(host.entry, status, requestedAt);
       },
     });
     this.directory = PrefixDirectory.create({
@@ -103,7 +103,7 @@
     this.gossip.announce();
   }
 
-  /** Announces soon to other hosts which requests were in progress on crashed upstreams. */
+  /** Sends pending crash reports to other hosts soon: which requests were in flight at crashed upstreams. */
   announceCrashes(): void {
     this.crashGossip.scheduleBatch();
   }
@@ -115,9 +115,9 @@
     } else this.gossip.announce();
   }
 
-  /** In a large fleet, looks up which engines have a prompt part cached that is unknown here. Returns undefined if no
-   * other host is asked.
-   * @param part Short name of the part. */
+  /** In a large fleet, asks other hosts which engines have a prompt part cached if none is known here. Returns
+   * undefined if no other host is asked.
+   * @param part Hash of the part. */
   lookUpPart(part: number): Promise<void> | undefined {
     return this.gossip.isLargeFleet ? this.directory.lookUp(part) : undefined;
   }
@@ -125,7 +125,7 @@
   /** Ends the communication and closes the socket. */
   async close(): Promise<void> {
     this.gossip.close();
-    this.ageQueries.close();
+    this.statusPoller.close();
     this.directory.close();
     this.crashGossip.close();
     this.socket.close();
@@ -144,29 +144,29 @@
       describeSelf: () => this.describeSelf(),
       takeFacts: () => prefixes.takeUpdates(),
       hasFacts: () => prefixes.hasPendingUpdates,
-      onFacts: (facts) => prefixes.applyUpdates(facts, readClock()),
-      onEntry: (entry, heardAt, askedAt) =>
-        this.handleEntry(entry, heardAt, askedAt),
+      onFacts: (updates) => prefixes.applyUpdates(updates, readClock()),
+      onEntry: (entry, lastSeenAt, requestedAt) =>
+        this.handleEntry(entry, lastSeenAt, requestedAt),
       readHosts: (host, done) => void this.hostExchange.fetch(host).then(done),
     });
   }
 
   private createCrashGossip(): CrashGossip {
-    const { socket, options: { guard: { store: memory } } } = this;
+    const { socket, options: { guard: { store } } } = this;
     socket.handle(
       "crash_words",
-      ({ words }) => memory.mergeReports(words, readClock()),
+      ({ words }) => store.mergeReports(words, readClock()),
     );
     return CrashGossip.create({
-      store: memory,
+      store,
       getHosts: () =>
         this.getLiveHosts().map(({ entry }) => entry.gossipAddress),
       send: (host, words) => socket.send(host, { type: "crash_words", words }),
     });
   }
 
-  private getPublicationSummary(): PublicationStatus {
-    const { ageMs, digest, revision } = this.options.published;
+  private getPublicationStatus(): PublicationStatus {
+    const { ageMs, digest, revision } = this.options.replica;
     const publicationAgeMs = Number.isFinite(ageMs) ? ageMs : -1;
     return { digest, revision, publicationAgeMs };
   }
@@ -182,42 +182,42 @@
       callerAddress,
       hall,
       phase: getPhase(),
-      ...this.getPublicationSummary(),
+      ...this.getPublicationStatus(),
       loads: chooser.loads.getOwnCounts(chooser.upstreams.getAll()),
     };
   }
 
   private handleEntry(
     entry: PeerEntry,
-    heardAt: number,
-    askedAt?: number,
+    lastSeenAt: number,
+    requestedAt?: number,
   ): void {
     const { loads } = this.options.chooser;
-    recordPeerLoads(loads, entry, heardAt, this.gossip.isLargeFleet);
-    if (askedAt !== undefined) this.reconcilePublication(entry, entry, askedAt);
+    recordPeerLoads(loads, entry, lastSeenAt, this.gossip.isLargeFleet);
+    if (requestedAt !== undefined) this.reconcile(entry, entry, requestedAt);
   }
 
-  /** Compares another host's publication summary with the local state. Equal digests confirm that the local state is as
+  /** Compares another host's publication status with the local state. Equal digests confirm that the local state is as
    * recent as the host's; a fresher host is asked for its state. */
-  private reconcilePublication(
+  private reconcile(
     host: PeerEntry,
-    summary: PublicationStatus,
-    askedAt: number,
+    status: PublicationStatus,
+    requestedAt: number,
   ): void {
-    const { published, publicationExchange } = this.options;
-    const { digest, revision, publicationAgeMs } = summary;
+    const { replica, publicationExchange } = this.options;
+    const { digest, revision, publicationAgeMs } = status;
     if (publicationAgeMs < 0) return;
-    if (digest === published.digest) {
-      published.confirmFreshness(digest, askedAt - publicationAgeMs);
+    if (digest === replica.digest) {
+      replica.confirmFreshness(digest, requestedAt - publicationAgeMs);
       return;
     }
-    const isFresher = publicationAgeMs < published.ageMs ||
-      revision > published.revision;
+    const isFresher = publicationAgeMs < replica.ageMs ||
+      revision > replica.revision;
     if (isFresher) void publicationExchange.fetch(host.id, host.peerAddress);
   }
 
   /** Returns the gossip addresses of hosts to query; none in a small fleet, where every gossip datagram already carries
-   * the publication summary. */
+   * the publication status. */
   private getGossipAddresses(ids: readonly string[]): string[] {
     if (!this.gossip.isLargeFleet) return [];
     const addresses = new Map(
--- a/src/gateway/prefix_recovery.ts
+++ b/src/gateway/prefix_recovery.ts
@@ -17,9 +17,9 @@
 /** Time in which other hosts announce what they have learned from their engines. Until it is over, this host's index is
  * incomplete and is not served to others. */
 const PEER_UPDATES_WAIT_MS = 1_500;
-/** Maximum number of engines up to which they are asked to list their parts: each list blocks its engine's work and has
- * a cost. The limit is on engines because their number is known immediately, while a host that has just started hears
- * few others. */
+/** Maximum number of engines for which they are asked to list their cached parts: each list blocks its engine's work
+ * and has a cost. The limit is on engines because their number is known immediately, while a host that has just started
+ * hears few others. */
 const MAX_LISTED_ENGINES = 24;
 /** Maximum number of hosts to fetch the index from. */
 const MAX_QUERIED_HOSTS = 3;
--- a/src/gateway/publication_exchange.ts
+++ b/src/gateway/publication_exchange.ts
@@ -31,7 +31,7 @@
     }).transform(({ upstream, ...change }) => ({ ...change, upstream })),
   ),
   completeUpTo: z.number(),
-  /** Digest of the whole publication that the host knows. */
+  /** Digest of the entire publication that the host knows. */
   digest: z.number(),
   /** Omitted if the host has no publication yet. */
   ageMs: z.number().default(Infinity),
@@ -45,18 +45,18 @@
   private packedConfiguration: { version: number; bytes: Buffer } | undefined;
 
   private constructor(
-    private readonly published: PublicationReplica,
+    private readonly replica: PublicationReplica,
     private readonly logger: Logger,
   ) {}
 
   /** Creates an exchange.
-   * @param published The publication known here.
+   * @param replica The publication known here.
    * @param logger Logs failed fetches. */
   static create(
-    published: PublicationReplica,
+    replica: PublicationReplica,
     logger: Logger,
   ): PublicationExchange {
-    return new PublicationExchange(published, logger);
+    return new PublicationExchange(replica, logger);
   }
 
   /** Responds with the parts of the publication that the requesting host may lack.
@@ -65,14 +65,14 @@
    * host has every change of upstreams. */
   respond(response: ServerResponse, query: URLSearchParams): void {
     const after = Number(query.get("after") ?? 0);
-    const { ageMs, configuration, ...state } = this.published.getState(after);
+    const { ageMs, configuration, ...state } = this.replica.getState(after);
     const hasVersion = String(configuration?.version) === query.get("version");
     sendMsgpack(response, {
       configuration: configuration && !hasVersion
         ? this.pack(configuration)
         : undefined,
       ...state,
-      digest: this.published.digest,
+      digest: this.replica.digest,
       ageMs: Number.isFinite(ageMs) ? ageMs : undefined,
     });
   }
@@ -116,11 +116,11 @@
   private async fetchState(
     peerId: string,
     address: string,
-    askedAt: number,
+    requestedAt: number,
   ): Promise<void> {
-    const version = this.published.routes?.version ??
+    const version = this.replica.routes?.version ??
       NO_CONFIGURATION_VERSION;
-    const after = this.needsFullState ? 0 : this.published.completeUpTo;
+    const after = this.needsFullState ? 0 : this.replica.completeUpTo;
     const path = `${PUBLICATION_PATH}?version=${version}&after=${after}`;
     const { configuration, digest, ...rest } = stateSchema.parse(
       await this.client.get(address, path),
@@ -129,9 +129,9 @@
       ...rest,
       configuration: configuration && unpackConfiguration(configuration),
     };
-    this.published.applyPeerState(state, peerId, askedAt);
+    this.replica.applyPeerState(state, peerId, requestedAt);
     // If the digests still differ, more may be missing here than `completeUpTo` implies; the next fetch asks for the
     // full state.
-    this.needsFullState = digest !== this.published.digest;
+    this.needsFullState = digest !== this.replica.digest;
   }
 }
--- a/src/gateway/publication_watch.ts
+++ b/src/gateway/publication_watch.ts
@@ -31,7 +31,7 @@
 export interface PublicationWatchOptions {
   logger: Logger;
   feed: PublicationFeed;
-  published: PublicationReplica;
+  replica: PublicationReplica;
   /** Returns the id of this host. */
   getHostId: () => string;
   /** Returns the other live hosts. */
@@ -51,11 +51,11 @@
   private cachedRanking: WatcherRanking;
 
   private constructor(private readonly options: PublicationWatchOptions) {
-    const { feed, published, logger } = options;
+    const { feed, replica, logger } = options;
     this.cachedRanking = this.buildRanking();
     this.watcher = FeedWatcher.create({
       feed,
-      replica: published,
+      replica,
       logger,
       watchMs: WATCH_TIMEOUT_MS,
       batchDelayMs: CHANGE_BATCHING_MS,
@@ -77,7 +77,7 @@
     this.watcher.close();
   }
 
-  /** Returns the hosts to query for the age of their publication; none if this host is a watcher. */
+  /** Returns the hosts to query for their publication status; none if this host is a watcher. */
   getSources(): string[] {
     return this.ranking.getSources();
   }
@@ -92,7 +92,7 @@
   }
 
   private shouldWatch(): boolean {
-    const { published: { ageMs }, mayBootstrapFromPeers } = this.options;
+    const { replica: { ageMs }, mayBootstrapFromPeers } = this.options;
     const uptimeMs = readClock() - this.startedAt;
     const awaitsPeer = uptimeMs < this.peerBootstrapWaitMs &&
       mayBootstrapFromPeers();
--- a/src/gateway/record_peer_loads.ts
+++ b/src/gateway/record_peer_loads.ts
@@ -17,10 +17,10 @@
   isLargeFleet: boolean,
 ): void {
   const ttlMs = PEER_LOADS_TTL_MS[isLargeFleet ? "large" : "small"];
-  const usedUntil = reportedAt + ttlMs;
+  const expiresAt = reportedAt + ttlMs;
   loads.record(entry.id, {
-    reportedAt: reportedAt,
-    expiresAt: usedUntil,
+    reportedAt,
+    expiresAt,
     counts: entry.loads,
   });
 }
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -24,8 +24,8 @@
 import { UpstreamTable } from "../upstreams/upstream_table.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 
-/** Maximum jitter that is added to the retry time of refused callers after a backoff. As long as a recovering upstream
- * takes for its first requests, which start with one and double each time. */
+/** Maximum jitter that is added to the retry time of refused callers after a backoff. It is the time that a recovering
+ * upstream takes for its first requests, whose number starts at one and doubles each time. */
 const RETRY_AFTER_JITTER_MS = 250;
 
 /** The settings that the choice of an upstream depends on. */
@@ -58,13 +58,13 @@
   /** Called with the previous state of an upstream that has restarted under its id. */
   onRestart: (before: Upstream) => void;
   /** Called when an upstream reports a change of whether it accepts requests. */
-  onAvailability: (change: AvailabilityChange) => void;
+  onAvailabilityChange: (change: AvailabilityChange) => void;
   /** Called with each upstream that is removed from the table. */
-  onDrop: (upstream: Upstream) => void;
+  onRemove: (upstream: Upstream) => void;
   /** Called for each attempt, with the known load of the upstream. */
   onSend: (choice: UpstreamChoice, load: LoadSnapshot) => void;
   /** Called with each health signal of an upstream. */
-  onHealthSignal: (sign: HealthSignal) => void;
+  onHealthSignal: (signal: HealthSignal) => void;
   /** Returns monotonic milliseconds; defaults to the clock of the process. */
   readNow?: () => number;
   /** Defaults to an unseeded generator. */
@@ -93,8 +93,8 @@
       getLapseEndsAt: options.getLapseEndsAt,
       leaveTimeoutMs: options.getSettings().leaveWithinMs,
       onRestart: options.onRestart,
-      onAvailabilityChange: options.onAvailability,
-      onRemove: options.onDrop,
+      onAvailabilityChange: options.onAvailabilityChange,
+      onRemove: options.onRemove,
     });
   }
 
@@ -104,7 +104,7 @@
     return new UpstreamChooser(options);
   }
 
-  /** Creates the access to upstreams that the runs of requests use. */
+  /** Creates the access to upstreams that call forwarders use. */
   createAccess(): UpstreamAccess {
     return {
       choose: (call, tried) => this.choose(call, tried),
@@ -114,7 +114,8 @@
       recordCompletion: ({ service, route }, durationMs) =>
         this.admission.recordCompletion(service, route.name, durationMs),
       spendRetry: (service) => this.spendRetry(service),
-      recordHealth: (upstream, sign) => this.recordHealthSignal(upstream, sign),
+      recordHealth: (upstream, signal) =>
+        this.recordHealthSignal(upstream, signal),
       recordMoved: (upstream) => this.upstreams.remove(upstream),
     };
   }
@@ -137,10 +138,11 @@
     this.retryBudgets.clear();
   }
 
-  /** Marks an upstream as crashed: it gets no requests for a while, and others fetch nothing that it had cached.
-   * @param shortName Short name of the upstream process. */
-  markCrashed(shortName: number): void {
-    const upstream = this.upstreams.findByInstanceHash(shortName);
+  /** Marks an instance of an upstream as crashed: it gets no requests for a while, and others fetch nothing that it had
+   * cached.
+   * @param instanceHash Hash of the instance. */
+  markCrashed(instanceHash: number): void {
+    const upstream = this.upstreams.findByInstanceHash(instanceHash);
     if (!upstream) return;
     upstream.crashedAt = this.readNow();
     this.recordHealthSignal(upstream, "unreachable");
@@ -207,7 +209,7 @@
     const deepest = sharedParts.at(-1);
     if (!deepest) return undefined;
     const now = this.readNow();
-    const kept = sharedParts.filter(({ name }) =>
+    const cachedParts = sharedParts.filter(({ name }) =>
       this.prefixes.isCached(name, target.instanceHash, now)
     );
     const source = this.findPrefixSource(sharedParts, service, target, now);
@@ -217,7 +219,7 @@
     return {
       part: deepest.name,
       sharedTokens: sumTokens(sharedParts),
-      keptTokens: sumTokens(kept),
+      keptTokens: sumTokens(cachedParts),
       fetchFrom: source?.published.address,
     };
   }
@@ -241,13 +243,13 @@
 
   /** Records the health signal of an attempt, and ejects the upstream if its health requires it.
    * @param upstream The upstream.
-   * @param sign The health signal. */
-  private recordHealthSignal(upstream: Upstream, sign: HealthSignal): void {
-    this.options.onHealthSignal(sign);
-    const ejectedMs = upstream.health.recordSignal(sign, this.readNow());
+   * @param signal The health signal. */
+  private recordHealthSignal(upstream: Upstream, signal: HealthSignal): void {
+    this.options.onHealthSignal(signal);
+    const ejectedMs = upstream.health.recordSignal(signal, this.readNow());
     if (ejectedMs === 0) return;
     this.options.logger.warn(
-      { upstream: upstream.id, sign, ejectedMs },
+      { upstream: upstream.id, sign: signal, ejectedMs },
       "upstream_ejected",
     );
   }
--- a/src/gateway/watcher_ranking.ts
+++ b/src/gateway/watcher_ranking.ts
@@ -2,7 +2,7 @@
 
 /** Number of hosts that always watch the platform; the others learn of changes from them. */
 const WATCHER_COUNT = 3;
-/** Maximum number of hosts that query the same host for the age of its publication, which is about 53 short datagrams a
+/** Maximum number of hosts that query the same host for its publication status, which is about 53 short datagrams a
  * second there. */
 const MAX_POLLERS_PER_HOST = 32;
 /** Number of hosts that a host queries in turn, so that a lost one only causes a delay. */
@@ -12,8 +12,8 @@
 const BACKUP_AGE_MS = 2_600;
 /** Interval after which the number of watching hosts doubles. Keys are accepted up to an age of about four seconds. */
 const BACKUP_DOUBLING_INTERVAL_MS = 400;
-/** Maximum number of hosts that watch at once if none gets an answer. A host that hears none of them ranks first in its
- * own ranking. */
+/** Maximum number of hosts that watch at once if none gets a response. A host that hears none of them ranks first in
+ * its own ranking. */
 const MAX_CONCURRENT_WATCHERS = 24;
 
 /** Ranks the hosts of the fleet to decide which of them watch the platform, and which hosts the others query. Hosts
@@ -49,8 +49,8 @@
       Math.min(MAX_CONCURRENT_WATCHERS, WATCHER_COUNT * 2 ** steps);
   }
 
-  /** Returns the hosts that this host queries for the age of their publication: watchers, or in a large fleet hosts
-   * that query them. */
+  /** Returns the hosts that this host queries for their publication status: watchers, or in a large fleet hosts that
+   * query them. */
   getSources(): string[] {
     if (this.isWatcher) return [];
     // The ranking is split into levels, of which each queries the one before: the level to query has `levelSize` hosts
--- a/tests/gateway/backoff_test.ts
+++ b/tests/gateway/backoff_test.ts
@@ -38,7 +38,7 @@
     fleet.publishConfiguration(1, [KEY], { max_attempts: 3 });
     const gateway = await fleet.startGateway();
     await waitForStatus(gateway, KEY, 200);
-    // A request is sent at maxAttempts four times, so every caller is served while fewer workers than that are full.
+    // A request is sent at most four times, so every caller is served while fewer workers than that are full.
     const full = workers.slice(0, 3);
     for (const worker of full) {
       worker.arrivals.length = 0;
--- a/tests/gateway/call.ts
+++ b/tests/gateway/call.ts
@@ -52,8 +52,8 @@
     await response.body.dump();
     return [];
   }
-  const answer = await response.body.json() as { addresses: string[] };
-  return answer.addresses.sort();
+  const list = await response.body.json() as { addresses: string[] };
+  return list.addresses.sort();
 }
 
 /** Sends raw bytes and returns everything received until the connection closes.
--- a/tests/gateway/crashing_request_test.ts
+++ b/tests/gateway/crashing_request_test.ts
@@ -1,7 +1,7 @@
 /** Guards against a request that crashes every engine that starts it. A caller repeated such a request at any host and
- * crashed fifteen engines, which broke all responses in progress on them. Each repetition had its own id, and no host
- * remembered a request beyond the attempts of one repetition. The log shows it as lines of `attempt_failed` with
- * `detail="other side closed" attempt=1`, here one for each of eleven crashes, with equal customer and prompt but
+ * crashed fifteen engines, which broke the responses to all requests in flight there. Each repetition had its own id,
+ * and no host remembered a request beyond the attempts of one repetition. The log shows it as lines of `attempt_failed`
+ * with `detail="other side closed" attempt=1`, here one for each of eleven crashes, with equal customer and prompt but
  * different hosts and ids. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
--- a/tests/gateway/gateway_test.ts
+++ b/tests/gateway/gateway_test.ts
@@ -17,12 +17,15 @@
     fleet.publishConfiguration(3, [KEY]);
     const gateway = await fleet.startGateway();
     await waitUntilServing(gateway);
-    const answer = await call(gateway, KEY, {
+    const response = await call(gateway, KEY, {
       headers: { "x-beechkeel-tenant": "forged", "x-mine": "kept" },
     });
-    t.is(answer.status, 200);
-    t.is(answer.body, worker.id);
-    t.is(answer.headers["x-beechkeel-response-seal"], `proof of ${worker.id}`);
+    t.is(response.status, 200);
+    t.is(response.body, worker.id);
+    t.is(
+      response.headers["x-beechkeel-response-seal"],
+      `proof of ${worker.id}`,
+    );
     const [arrival] = worker.arrivals;
     t.is(arrival?.path, "/a/b?c=d");
     t.is(arrival?.body, "a body");
@@ -50,9 +53,9 @@
   await withGateways(async (fleet) => {
     fleet.store.behaviour = "unavailable";
     const gateway = await fleet.startGateway();
-    const answer = await call(gateway, KEY);
-    t.is(answer.status, 503);
-    t.truthy(answer.headers["retry-after"]);
+    const response = await call(gateway, KEY);
+    t.is(response.status, 503);
+    t.truthy(response.headers["retry-after"]);
     t.deepEqual(await locate(gateway), []);
   });
 });
@@ -109,7 +112,7 @@
   });
 });
 
-test("the newest configuration comes into force after the store dropped its history", async (t) => {
+test("the newest configuration becomes current after the store dropped its history", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
@@ -122,7 +125,7 @@
   });
 });
 
-test("a value that cannot be decoded is ignored, and the previous configuration stays in force", async (t) => {
+test("a value that cannot be decoded is ignored, and the previous configuration stays current", async (t) => {
   await withGateways(async (fleet) => {
     await fleet.startWorker("s");
     fleet.publishConfiguration(1, [KEY]);
@@ -265,8 +268,8 @@
     await waitForStatus(gateway, KEY, 200);
     const before = worker.arrivals.length;
     for (const [name, [text, status]] of Object.entries(MALFORMED)) {
-      const answer = await sendRaw(gateway, text);
-      t.regex(answer, new RegExp(`^HTTP/1\\.1 ${status} `), name);
+      const response = await sendRaw(gateway, text);
+      t.regex(response, new RegExp(`^HTTP/1\\.1 ${status} `), name);
     }
     t.is(worker.arrivals.length, before);
     t.is((await call(gateway, KEY)).status, 200);
--- a/tests/gateway/load_bound_test.ts
+++ b/tests/gateway/load_bound_test.ts
@@ -22,7 +22,7 @@
   changes: Partial<VirtualGatewaysOptions>,
 ): number[] {
   return SEEDS.map((seed) => {
-    const { worstWindow: worst } = VirtualGateways.run({
+    const { worstWindow } = VirtualGateways.run({
       ...fleet,
       seed,
       engines: 18,
@@ -35,7 +35,7 @@
       leaving: 0,
       ...changes,
     }).ledger;
-    return getShare(worst);
+    return getShare(worstWindow);
   });
 }
 
--- a/tests/gateway/prefix_recovery_test.ts
+++ b/tests/gateway/prefix_recovery_test.ts
@@ -11,7 +11,7 @@
 const STARTED_AT = 5;
 
 /** How the engines respond. */
-interface AnswerOptions {
+interface ResponseOptions {
   /** Start time that they report. */
   startedAt?: number;
   status?: number;
@@ -23,16 +23,16 @@
 /** Runs the recovery of a host that knows no other. Returns the addresses of the engines that it asked, and how many
  * engines it has recorded as having the listed part cached.
  * @param engineCount Number of engines.
- * @param answer How they respond. */
+ * @param options How they respond. */
 async function recoverWithoutPeers(
   engineCount: number,
-  answer: AnswerOptions = {},
+  options: ResponseOptions = {},
 ) {
   const {
     startedAt,
     status = 200,
     availability = { backoffMs: undefined, isLeaving: false },
-  } = answer;
+  } = options;
   const asked: string[] = [];
   const logger = pino({ level: "silent" });
   const prefixes = PrefixIndex.create();
@@ -42,7 +42,7 @@
       buildUpstream({ id: `e-${index}`, address, startedAt: STARTED_AT }),
     );
   });
-  answer.prepare?.(engines);
+  options.prepare?.(engines);
   const exchange = PrefixExchange.create(prefixes, logger);
   const recovery = PrefixRecovery.create({
     logger,
@@ -67,14 +67,14 @@
   await recovery.run();
   await exchange.close();
   const part = PrefixIndex.hashPartId("c0ffee");
-  const { length: caching } = prefixes.getHolders(part, performance.now());
-  return { asked, caching, engines };
+  const { length: holderCount } = prefixes.getHolders(part, performance.now());
+  return { asked, holderCount, engines };
 }
 
 test("a host without peers asks each of a few engines once", async (t) => {
-  const { asked, caching } = await recoverWithoutPeers(6);
+  const { asked, holderCount } = await recoverWithoutPeers(6);
   t.is(new Set(asked).size, 6);
-  t.is(caching, 6);
+  t.is(holderCount, 6);
 });
 
 test("many engines are not asked, however few hosts are known", async (t) => {
@@ -82,9 +82,12 @@
 });
 
 test("a list is used only if the engine has not restarted since its entry", async (t) => {
-  t.is((await recoverWithoutPeers(2, { startedAt: STARTED_AT })).caching, 2);
   t.is(
-    (await recoverWithoutPeers(2, { startedAt: STARTED_AT + 1 })).caching,
+    (await recoverWithoutPeers(2, { startedAt: STARTED_AT })).holderCount,
+    2,
+  );
+  t.is(
+    (await recoverWithoutPeers(2, { startedAt: STARTED_AT + 1 })).holderCount,
     0,
   );
 });
--- a/tests/gateway/restored_store_test.ts
+++ b/tests/gateway/restored_store_test.ts
@@ -1,6 +1,6 @@
-/** Guards against ignoring changes after the store is unavailable for a moment and then restored from a copy that is
- * some seconds old, and so assigns revisions again. Gateways took changes with a lower revision than the known one for
- * outdated, and kept sending requests to a worker that started draining after the restore. */
+/** Guards against ignoring changes after a restore of the store. The store was unavailable for a moment, came back from
+ * a copy some seconds old, and assigned the same revisions again. Gateways treated changes with a lower revision than
+ * the known one as outdated, and kept sending requests to a worker that started draining after the restore. */
 import test, { type ExecutionContext } from "ava";
 import type { FakeWorker } from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
@@ -51,7 +51,7 @@
   fleet.publishWorker(worker, "s", "ready");
 }
 
-/** Publishes a configuration and waits until it is in force; the gateway then knows everything written before it. */
+/** Publishes a configuration and waits until it is current; the gateway then knows everything written before it. */
 async function publishAndWait(
   { fleet, gateway }: Fixture,
   version: number,
--- a/tests/gateway/virtual_engine.ts
+++ b/tests/gateway/virtual_engine.ts
@@ -15,7 +15,7 @@
 
 /** A simulated engine in virtual time. */
 export class VirtualEngine {
-  /** Number of requests in progress. */
+  /** Number of requests in flight. */
   held = 0;
   private readonly timing = EngineTiming.create();
 
@@ -39,8 +39,8 @@
     return new VirtualEngine(timeline, published);
   }
 
-  /** Number of tokens of shared prompts that it had to read because they were not cached. */
-  get readTokens(): number {
+  /** Number of tokens of shared prompts that it had to prefill because they were not cached. */
+  get prefilledTokens(): number {
     return this.timing.prefilledTokens;
   }
 
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -98,13 +98,13 @@
     return fleet;
   }
 
-  /** Fraction of the tokens of shared prompts that engines had cached and did not have to read. */
+  /** Fraction of the tokens of shared prompts that engines had cached and did not have to prefill. */
   get cachedFraction(): number {
-    const read = this.engines.reduce(
-      (sum, engine) => sum + engine.readTokens,
+    const prefilled = this.engines.reduce(
+      (sum, engine) => sum + engine.prefilledTokens,
       0,
     );
-    return 1 - read / Math.max(1, this.sharedTokens);
+    return 1 - prefilled / Math.max(1, this.sharedTokens);
   }
 
   private publishLeaving(count: number): void {
@@ -142,9 +142,10 @@
       }),
       takeFacts: () => chooser.prefixes.takeUpdates(),
       hasFacts: () => chooser.prefixes.hasPendingUpdates,
-      onFacts: (facts) => chooser.prefixes.applyUpdates(facts, timeline.read()),
-      onEntry: (entry, heardAt) =>
-        recordPeerLoads(chooser.loads, entry, heardAt, gossip.isLargeFleet),
+      onFacts: (updates) =>
+        chooser.prefixes.applyUpdates(updates, timeline.read()),
+      onEntry: (entry, lastSeenAt) =>
+        recordPeerLoads(chooser.loads, entry, lastSeenAt, gossip.isLargeFleet),
       readHosts: (other, done) => this.readHosts(other, done),
       timeline,
       random: random.fork(),
@@ -180,8 +181,8 @@
       getLapseEndsAt: () => -Infinity,
       onPrefixUpdates: () => this.sharePrefixUpdates(index),
       onRestart: () => undefined,
-      onAvailability: () => undefined,
-      onDrop: () => undefined,
+      onAvailabilityChange: () => undefined,
+      onRemove: () => undefined,
       onSend: () => undefined,
       onHealthSignal: () => undefined,
       readNow: () => this.timeline.read(),
@@ -205,10 +206,10 @@
   private sharePrefixUpdates(index: number): void {
     const { gossip, chooser } = this.hosts[index]!;
     if (!gossip.isLargeFleet) return gossip.announce();
-    const facts = chooser.prefixes.takeAllUpdates();
+    const updates = chooser.prefixes.takeAllUpdates();
     this.timeline.after(PREFIX_PROPAGATION_MS, () => {
       for (const host of this.hosts) {
-        host.chooser.prefixes.applyUpdates(facts, this.timeline.read());
+        host.chooser.prefixes.applyUpdates(updates, this.timeline.read());
       }
     });
   }
--- a/tests/gateway/wait_for_gateway.ts
+++ b/tests/gateway/wait_for_gateway.ts
@@ -2,7 +2,7 @@
 import { call, locate } from "./call.ts";
 import type { TestGateway } from "./with_gateways.ts";
 
-/** Waits until a gateway answers requests with a status. */
+/** Waits until a gateway responds to requests with a status. */
 export async function waitForStatus(
   gateway: TestGateway,
   key: string,
--- a/tests/gateway/worker_entry_test.ts
+++ b/tests/gateway/worker_entry_test.ts
@@ -20,7 +20,7 @@
     fleet.publishConfiguration(1, [KEY], route);
     const gateway = await fleet.startGateway();
     await waitUntilServing(gateway);
-    const answers = Array.from({ length: 4 }, () => call(gateway, KEY));
+    const responses = Array.from({ length: 4 }, () => call(gateway, KEY));
     await waitUntil(
       "the worker has a request",
       () => restarted.arrivals.length > 0,
@@ -28,7 +28,7 @@
     restarted.behaviour = answerSuccessfully;
     restarted.startedAt += 1_000;
     fleet.publishWorker(restarted, "s", "ready");
-    for (const answer of answers) t.is((await answer).status, 200);
+    for (const response of responses) t.is((await response).status, 200);
     t.true(other.arrivals.length > 0);
   });
 });
