--- a/src/configuration/configuration_replica.ts
+++ b/src/configuration/configuration_replica.ts
@@ -152,7 +152,7 @@
       });
     }
     if (outcome.type === "superseded") {
-      const why = `from ${source}, revision ${outcome.current} remains current`;
+      const why = `from ${source}, revision ${outcome.current} stays in force`;
       this.options.audit.add({
         action: "document_superseded",
         ...subject,
--- a/src/configuration/validate_document.ts
+++ b/src/configuration/validate_document.ts
@@ -34,7 +34,7 @@
   const bytes = Buffer.byteLength(JSON.stringify(published.value) ?? "");
   if (bytes > MAX_VALUE_BYTES) {
     return Err([
-      `document: ${bytes} bytes exceed the limit of ${MAX_VALUE_BYTES} bytes`,
+      `document: ${bytes} bytes exceed ${MAX_VALUE_BYTES}`,
     ]);
   }
   const checked = documentSchema.safeParse(published.value);
@@ -62,7 +62,7 @@
   }
   if (document.kind !== kind && document.kind !== "withdrawn") {
     reasons.push(
-      `document.kind: ${document.kind} is not allowed in this folder`,
+      `document.kind: ${document.kind} may not stand in this folder`,
     );
   }
   return reasons.length > 0 ? Err(reasons) : Ok(document);
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -244,7 +244,7 @@
       who,
       what: host.id,
       revision: this.options.getView().version,
-      why: "first in rendezvous order among the reachable routers",
+      why: "first in its rendezvous order among the routers heard",
     });
     this.refreshOwnership(upstream);
     this.options.requestReport(upstream);
