--- a/src/owner/job_runners.ts
+++ b/src/owner/job_runners.ts
@@ -4,13 +4,13 @@
 } from "../upstream/upstream_client.ts";
 import type { Job } from "./job.ts";
 
-/** Size of the answer that a job sent, for the entry router to compare with what it received. */
+/** Size of the response that a job sent, for the entry router to compare with what it received. */
 export interface JobResult {
   chunks: number;
   bytes: number;
 }
 
-/** Sends the request of a job to an upstream and streams the answer to the entry router.
+/** Sends the request of a job to an upstream and streams the response to the entry router.
  * Throws if the upstream fails. */
 export type JobRunner = (
   job: Job,
@@ -32,10 +32,14 @@
 }
 
 async function runCall(job: Job, client: UpstreamClient): Promise<JobResult> {
-  const answer = await client.call(toUpstreamRequest(job));
+  const response = await client.call(toUpstreamRequest(job));
   const result = { chunks: 0, bytes: 0 };
-  job.send({ type: "head", status: answer.status, headers: answer.headers });
-  await sendChunk(job, result, answer.body, 1);
+  job.send({
+    type: "head",
+    status: response.status,
+    headers: response.headers,
+  });
+  await sendChunk(job, result, response.body, 1);
   return result;
 }
 
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -16,10 +16,10 @@
 import { AdvertisedLoads } from "./advertised_loads.ts";
 import type { UpstreamRegistry } from "./upstream_registry.ts";
 
-/** Time within which an entry router must answer a claim. */
+/** Time within which an entry router must respond to a claim. */
 const CLAIM_TIMEOUT_MS = 2_000;
 
-/** Frames that an entry router may send on an open exchange. */
+/** Frames with which an entry router decides how an offered request continues. */
 export type ReplyFrame =
   | FrameOf<"grant">
   | FrameOf<"withhold">
@@ -66,7 +66,7 @@
     this.isStopping = true;
   }
 
-  /** Handles an offer from an entry router and answers on the same connection.
+  /** Handles an offer from an entry router and responds on the same connection.
    * @param port Connection to the entry router.
    * @param frame The offer. */
   handleOffer(port: FramePort, frame: FrameOf<"offer">): void {
--- a/src/owner/load_bound.ts
+++ b/src/owner/load_bound.ts
@@ -12,7 +12,7 @@
   mean: number;
   /** Fraction of the listed routers that are reachable; unreachable ones are assumed to use the rest of the
    * capacity. */
-  reachableShare: number;
+  reachableFraction: number;
 }
 
 /** Requests in flight on one upstream. */
@@ -31,8 +31,8 @@
  * knowing. */
 export const RESERVED_SLOTS = 1;
 
-/** Chooses the mean from which the bound of a pool is computed: the mean over all upstreams, unless its
- * bound leaves the reachable upstreams too little headroom for their present load.
+/** Chooses the mean from which the bound of a pool is computed: the mean over all upstreams, unless its bound leaves
+ * the reachable upstreams too little headroom for their present load.
  * @param means Mean loads of the pool.
  * @param boundMultiple Guaranteed multiple of the mean. */
 export function chooseMean(means: PoolMeans, boundMultiple: number): number {
@@ -42,8 +42,8 @@
     : means.reachable;
 }
 
-/** Computes the maximum number of requests that the owner allows in flight on an upstream: at most one less than the
- * guaranteed bound, but at least one.
+/** Computes the maximum number of requests that the owner allows in flight on an upstream: at most its slots and one
+ * less than the guaranteed bound, but at least one.
  * @param bound Inputs of the bound. */
 export function computeCap(bound: LoadBoundInputs): number {
   const { boundMultiple, mean, minimumCap, slots } = bound;
@@ -68,5 +68,5 @@
   const total = load.own + load.foreign;
   if (total === 0) return true;
   const cap = computeCap(bound);
-  return total < cap && load.own < Math.floor(cap * bound.reachableShare);
+  return total < cap && load.own < Math.floor(cap * bound.reachableFraction);
 }
--- a/src/owner/owned_upstream.ts
+++ b/src/owner/owned_upstream.ts
@@ -86,8 +86,8 @@
       !this.client.availability.isLeaving && this.isReachable;
   }
 
-  /** Whether the upstream asked in its answers for no requests, either for a time or until it is started again. */
-  get refusesRequests(): boolean {
+  /** Whether the upstream asked in its responses for no requests, either for a time or until it is started again. */
+  get declinesRequests(): boolean {
     return !this.client.availability.acceptsRequests(this.timeline.read());
   }
 
@@ -96,7 +96,7 @@
     return this.client.availability.getBackoffMs(this.timeline.read());
   }
 
-  /** Whether the upstream answers requests for its report. */
+  /** Whether the upstream responds to requests for its report. */
   get isReachable(): boolean {
     return this.missedReports < MISSED_REPORT_LIMIT;
   }
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -61,7 +61,7 @@
     return new Owner(options);
   }
 
-  /** Handles an offer from an entry router and answers on the same connection.
+  /** Handles an offer from an entry router and responds on the same connection.
    * @param port Connection to the entry router.
    * @param frame The offer. */
   offer(port: FramePort, frame: FrameOf<"offer">): void {
--- a/src/owner/upstream_registry.ts
+++ b/src/owner/upstream_registry.ts
@@ -45,6 +45,7 @@
 /** The upstreams that a router owns or still has work on, and their load bounds. */
 export class UpstreamRegistry {
   private readonly upstreams = new Map<string, OwnedUpstream>();
+  /** The reachable fraction that the load bounds use. */
   private readonly share = ReachableFraction.create();
   /** Routers that have advertised their loads. */
   private readonly advertisers = new Set<string>();
@@ -124,7 +125,7 @@
 
   /** Returns the router to which an offer must be redirected, or undefined if this router may handle it.
    * @param upstream The upstream.
-   * @param avoids Routers that did not answer the entry router. */
+   * @param avoids Routers that did not respond to the entry router. */
   findOtherOwner(
     upstream: OwnedUpstream,
     avoids: readonly string[],
@@ -200,7 +201,7 @@
     const pool = this.options.getPlacement().getPoolMembers(upstream.host);
     const means = this.options.loads.getMeans(pool, now);
     const mean = chooseMean(means, boundMultiple);
-    const reachableShare = this.share.update(
+    const reachableFraction = this.share.update(
       this.options.getView().reachableFraction,
       now,
     );
@@ -209,7 +210,7 @@
       minimumCap,
       slots: upstream.host.slots,
       mean,
-      reachableShare,
+      reachableFraction,
     };
   }
 
@@ -217,7 +218,7 @@
     const isUsed = upstream.running.size > 0 || upstream.queue.length > 0;
     const isListed =
       this.options.getView().getUpstream(upstream.host.id) !== undefined;
-    const isKept = this.isOwner(upstream.host) || upstream.refusesRequests;
+    const isKept = this.isOwner(upstream.host) || upstream.declinesRequests;
     if (isUsed || (isListed && isKept)) return;
     this.upstreams.delete(upstream.host.id);
     void upstream.client.close();
--- a/tests/owner/load_bound_test.ts
+++ b/tests/owner/load_bound_test.ts
@@ -7,7 +7,7 @@
   minimumCap: fc.integer({ min: 1, max: 10 }),
   slots: fc.integer({ min: 1, max: 200 }),
   mean: fc.double({ min: 0, max: 100, noNaN: true }),
-  reachableShare: fc.constant(1),
+  reachableFraction: fc.constant(1),
 });
 
 test("the cap exceeds neither the guaranteed bound nor the slots", (t) => {
@@ -44,11 +44,11 @@
     (one, listed, cut) => {
       const smaller = Math.min(cut, listed - 1);
       const sides = [smaller / listed, (listed - smaller) / listed];
-      const started = sides.map((reachableShare) => {
+      const started = sides.map((reachableFraction) => {
         let own = 0;
         while (
           own < 1_000 &&
-          hasRoom({ ...one, reachableShare }, { own, foreign: 0 })
+          hasRoom({ ...one, reachableFraction }, { own, foreign: 0 })
         ) own += 1;
         return own;
       });
@@ -62,8 +62,8 @@
   const property = fc.property(
     bound,
     fc.double({ min: 0.01, max: 1, noNaN: true }),
-    (one, reachableShare) =>
-      hasRoom({ ...one, reachableShare }, { own: 0, foreign: 0 }),
+    (one, reachableFraction) =>
+      hasRoom({ ...one, reachableFraction }, { own: 0, foreign: 0 }),
   );
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 500 }));
 });
--- a/tests/owner/load_table_test.ts
+++ b/tests/owner/load_table_test.ts
@@ -20,28 +20,28 @@
 );
 
 /** Returns how many requests a router may start at a given time on one engine that has become idle. */
-function countStartable(book: LoadTable, now: number): number {
-  const mean = book.getMeans(ENGINES, now).reachable;
+function countStartable(table: LoadTable, now: number): number {
+  const mean = table.getMeans(ENGINES, now).reachable;
   return computeCap({
     boundMultiple: GUARANTEE.multiple,
     minimumCap: GUARANTEE.minimum,
     slots: 64,
     mean,
-    reachableShare: 1,
+    reachableFraction: 1,
   });
 }
 
 test("a mean that is read late and takes effect late keeps engines within the bound", (t) => {
   for (let decidedAt = 0; decidedAt <= 4_000; decidedAt += 50) {
-    const book = LoadTable.create();
+    const table = LoadTable.create();
     if (decidedAt >= REPORT_DELAY_MS) {
       const advertised = ENGINES.map((id): [number, number] => [
         hashText(id),
         INITIAL_LOAD,
       ]);
-      book.record(advertised, REPORT_DELAY_MS);
+      table.record(advertised, REPORT_DELAY_MS);
     }
-    const starts = countStartable(book, decidedAt);
+    const starts = countStartable(table, decidedAt);
     const arrivedAt = decidedAt + START_DELAY_MS;
     const ledgers = ENGINES.map((_, engine) => {
       const ledger: [number, number][] = [...LOAD_INCREASE, [0, 0]];
@@ -62,21 +62,21 @@
 test("a slot below the bound stays free while an engine of the pool is unreachable", (t) => {
   const pool = ["e-0", "e-1", "e-2", "e-3", "e-4", "e-5"];
   for (let load = 0; load <= 60; load++) {
-    const book = LoadTable.create();
-    book.record(
+    const table = LoadTable.create();
+    table.record(
       pool.map((id, index): [number, number] => [
         hashText(id),
         index === 0 ? UNREACHABLE_LOAD : load,
       ]),
       0,
     );
-    const mean = chooseMean(book.getMeans(pool, 0), GUARANTEE.multiple);
+    const mean = chooseMean(table.getMeans(pool, 0), GUARANTEE.multiple);
     const cap = computeCap({
       boundMultiple: GUARANTEE.multiple,
       minimumCap: GUARANTEE.minimum,
       slots: 64,
       mean,
-      reachableShare: 1,
+      reachableFraction: 1,
     });
     const poolMean = load * (pool.length - 1) / pool.length;
     const guaranteed = Math.max(
--- a/tests/owner/virtual_chats.ts
+++ b/tests/owner/virtual_chats.ts
@@ -9,7 +9,7 @@
 import { ENGINE_ID } from "./virtual_pool.ts";
 import type { VirtualRouter } from "./virtual_router.ts";
 
-/** Time within which an owner must answer an offer. */
+/** Time within which an owner must respond to an offer. */
 const ACCEPT_TIMEOUT_MS = 700;
 const MAX_ATTEMPTS = 3;
 /** Range of the time between the end of a request of a chat and the next request. */
@@ -27,7 +27,7 @@
 
 /** Runs chats until the simulation ends; each sends its next request soon after the previous one has ended. */
 export class VirtualChats {
-  /** Number of answered requests. */
+  /** Number of completed requests. */
   answered = 0;
   private sentCount = 0;
   private readonly exchanges = { last: 0 };
@@ -80,7 +80,7 @@
     const { fleet } = this;
     const { entry } = progress;
     let isOver = false;
-    let isAnswered = false;
+    let hasResponded = false;
     let isAccepted = false;
     this.exchanges.last += 1;
     const exchange = this.exchanges.last;
@@ -105,7 +105,7 @@
     const port = createPort(entry.id, (frame) => {
       fleet.timeline.after(fleet.drawDeliveryDelay(), () => {
         if (isOver) return;
-        isAnswered = true;
+        hasResponded = true;
         if (frame.type === "accepted") {
           isAccepted = !frame.queued;
           return;
@@ -135,7 +135,7 @@
       () => owner.scheduler.handleOffer(port, offer),
     );
     fleet.timeline.after(ACCEPT_TIMEOUT_MS, () => {
-      if (!isAnswered) abandon();
+      if (!hasResponded) abandon();
     });
   }
 
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -33,7 +33,7 @@
 /** Fraction of the load advertisements that are lost. */
 const LOAD_LOSS_RATE = 0.1;
 
-/** The start of a request on the engine that exceeded its load bound. */
+/** A start of a request that exceeded the load bound of the engine. */
 export interface BoundViolation {
   at: number;
   running: readonly string[];
@@ -64,7 +64,7 @@
     for (const router of this.routers) this.startRouter(router);
   }
 
-  /** Starts routers that are all reachable to each other.
+  /** Starts routers that can all reach each other.
    * @param seed Seed of the random numbers for all delays.
    * @param count Number of routers.
    * @param limit Requests that the engine may have in flight.
@@ -241,8 +241,8 @@
     }
   }
 
-  /** Delivers the loads that an answer to a probe advertises. */
-  private answerProbe(observer: VirtualRouter, prober: VirtualRouter): void {
+  /** Delivers the loads that a response to a probe advertises. */
+  private respondToProbe(observer: VirtualRouter, prober: VirtualRouter): void {
     if (this.random.fraction() < this.lossRate) return;
     const loads = observer.registry.getLoads();
     this.runAt(
@@ -320,17 +320,17 @@
     const { generation } = router;
     for (const observer of this.routers) {
       if (observer === router) continue;
-      const afterMs = this.random.integer(...SUSPICION_DELAY_MS);
-      if (afterMs >= durationMs) continue;
-      this.timeline.after(afterMs, () => {
+      const suspectAfterMs = this.random.integer(...SUSPICION_DELAY_MS);
+      if (suspectAfterMs >= durationMs) continue;
+      this.timeline.after(suspectAfterMs, () => {
         if (router.generation === generation && router.state !== "running") {
           this.setHeard(observer, router.id, false);
         }
       });
     }
-    const lostMs = this.random.integer(...DISCONNECT_DELAY_MS);
-    if (durationMs <= lostMs || router.state === "dead") return;
-    this.timeline.after(lostMs, () => {
+    const disconnectAfterMs = this.random.integer(...DISCONNECT_DELAY_MS);
+    if (durationMs <= disconnectAfterMs || router.state === "dead") return;
+    this.timeline.after(disconnectAfterMs, () => {
       if (router.generation !== generation || router.state !== "paused") return;
       for (const close of [...router.closeHandlers]) close();
       router.closeHandlers.clear();
@@ -388,7 +388,7 @@
     if (isHeard) observer.heard.add(id);
     else observer.heard.delete(id);
     this.refreshView(observer);
-    if (isHeard) this.answerProbe(observer, this.getRouter(id));
+    if (isHeard) this.respondToProbe(observer, this.getRouter(id));
   }
 
   private refreshView(router: VirtualRouter): void {
