--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -16,10 +16,11 @@
     type: "declined";
     reason: FrameOf<"declined">["reason"];
     owner: string;
-    /** Back-off until the upstream may be tried again, in milliseconds, if it specified one. */
+    /** Backoff until the upstream may be tried again, in milliseconds, if it specified one. */
     backoffMs?: number;
   }
-  /** The owner did not acknowledge the offer, or its connection was closed. */
+  /** The owner did not acknowledge the offer, or its connection was closed. `wasAccepted` tells whether it had accepted
+   * the offer without queueing it. */
   | { type: "unreachable"; detail: string; wasAccepted: boolean }
   | { type: "failed"; ran: "no" | "unknown"; detail: string }
   | { type: "expired" }
@@ -46,6 +47,7 @@
   private readonly exchange: number;
   private resolve: (outcome: AttemptOutcome) => void = () => undefined;
   private isFinished = false;
+  /** Whether the owner accepted the offer without queueing it. */
   private isAccepted = false;
   private chunks = 0;
   private bytes = 0;
--- a/src/entry/caller_checks.ts
+++ b/src/entry/caller_checks.ts
@@ -30,7 +30,7 @@
   return customer;
 }
 
-/** Returns the deadline of a request, in monotonic milliseconds.
+/** Returns the deadline of a request, as monotonic time in milliseconds.
  * @param context Dependencies of the handler.
  * @param request The request. */
 export function getDeadline(
--- a/src/entry/chat_request_schema.ts
+++ b/src/entry/chat_request_schema.ts
@@ -7,7 +7,7 @@
   messages: z.array(z.looseObject({ role: z.string(), content: z.string() }))
     .min(1),
   stream: z.boolean().default(false),
-  /** Identifies the chat, so that its later requests are routed to the engine that holds its context in the cache. */
+  /** Identifies the chat, so that its later requests are routed to the engine that has its context cached. */
   chat_id: z.string().min(1).max(256).optional(),
 });
 
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -195,8 +195,8 @@
   ): string | undefined {
     const host = this.options.getView().getUpstream(upstreamId);
     if (!host) return undefined;
-    const target = progress.namedOwners.get(upstreamId);
-    if (target !== undefined && !progress.silent.has(target)) return target;
+    const named = progress.namedOwners.get(upstreamId);
+    if (named !== undefined && !progress.silent.has(named)) return named;
     const owners = this.options.getPlacement().getOwners(host).filter((id) =>
       !progress.silent.has(id)
     );
@@ -343,7 +343,7 @@
   }
 }
 
-/** Returns the shortest back-off of the full upstreams, in milliseconds; undefined if one of them specified none. */
+/** Returns the shortest backoff of the full upstreams, in milliseconds; undefined if one of them specified none. */
 function getShortestBackoff(declines: Declines): number | undefined {
   const full = [...declines.values()].filter(({ reason }) => reason === "full");
   const shortest = Math.min(...full.map(({ backoffMs }) => backoffMs ?? 0));
--- a/src/entry/outcome_store.ts
+++ b/src/entry/outcome_store.ts
@@ -35,7 +35,7 @@
 
   /** Registers an attempt whose outcome is pending.
    * @param attempt Id of the attempt.
-   * @param now Current time in milliseconds. */
+   * @param now Milliseconds since the epoch. */
   open(attempt: string, now: number): void {
     this.evict(now);
     this.slots.set(attempt, { outcome: undefined, waiting: [], openedAt: now });
--- a/src/entry/record_attempt.ts
+++ b/src/entry/record_attempt.ts
@@ -31,13 +31,13 @@
   const isBroken = outcome.type === "failed" && outcome.ran === "unknown";
   if (!isBroken || !upstream) return;
   guard.recordInterruption(
-    toCheckedUpstream(upstream),
+    toUpstreamInstance(upstream),
     fingerprint,
     hasReceivedEvents,
   );
 }
 
-function toCheckedUpstream(
+function toUpstreamInstance(
   { id, address, port, state }: Host,
 ): UpstreamInstance {
   return {
--- a/src/entry/routed_request.ts
+++ b/src/entry/routed_request.ts
@@ -18,7 +18,7 @@
   repeatable: boolean;
   /** Idempotency key, if the caller sent one. */
   key: string | undefined;
-  /** Deadline of the caller, in monotonic milliseconds. */
+  /** Monotonic time in milliseconds of the caller's deadline. */
   deadlineAt: number;
 }
 
--- a/src/entry/run_request.ts
+++ b/src/entry/run_request.ts
@@ -73,18 +73,18 @@
   for (let count = 0; count < MAX_CLAIMS; count++) {
     const claim = createClaim(context, request, key);
     context.outcomes.open(claim.attempt, Date.now());
-    const verdict = await claim.acquire(replaces);
-    if (verdict.type === "claimed") {
+    const voteResult = await claim.acquire(replaces);
+    if (voteResult.type === "claimed") {
       return await runClaimed(context, request, claim, response, transform);
     }
     context.outcomes.settle(claim.attempt, { state: "released" });
-    if (verdict.type === "unconfirmed") {
+    if (voteResult.type === "unconfirmed") {
       return Failure.create(
         "key_unconfirmed",
         "too few routers that remember the key were reached",
       );
     }
-    const outcome = await requestOutcome(context, request, verdict.record);
+    const outcome = await requestOutcome(context, request, voteResult.record);
     if (outcome instanceof Failure) return outcome;
     if (outcome.state === "done") return markReplayed(outcome.response);
     if (outcome.state === "unknown") {
@@ -93,7 +93,7 @@
         "an earlier attempt holds the key",
       );
     }
-    replaces = verdict.record.attempt;
+    replaces = voteResult.record.attempt;
   }
   return Failure.create(
     "key_unconfirmed",
@@ -218,11 +218,11 @@
     );
   }
   const waitMs = Math.max(1, request.deadlineAt - readClock());
-  const build = (exchange: number) =>
+  const buildFrame = (exchange: number) =>
     ({ type: "outcome", exchange, attempt: record.attempt, waitMs }) as const;
   const frame = await context.connectionPool.request(
     record.holder,
-    build,
+    buildFrame,
     "outcome_is",
     waitMs,
   );
--- a/src/peer/frame_schema.ts
+++ b/src/peer/frame_schema.ts
@@ -3,8 +3,8 @@
 import { hostListSchema } from "../configuration_service/host_schema.ts";
 import { publishedValueSchema } from "../configuration/document_schema.ts";
 
-/** Number of the exchange that a frame belongs to, which is a request and its answers. Exchanges are multiplexed over a
- * connection. The number is unique per connection and chosen by the side that opened the exchange; frames that belong
+/** Number of the exchange that a frame belongs to, which is a request and its responses. Exchanges are multiplexed over
+ * a connection. The number is unique per connection and chosen by the side that opened the exchange; frames that belong
  * to no exchange carry 0. */
 const exchange = z.number().int().nonnegative();
 const bytes = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
@@ -28,11 +28,12 @@
   repeatable: z.boolean(),
   /** Whether the request may be queued if the upstream is full. */
   mayQueue: z.boolean(),
-  /** Ids of routers that did not answer the entry; if the owner is one of them, the next router in rank may accept. */
+  /** Ids of routers that did not respond to the entry; if the owner is one of them, the next router in rank may
+   * accept. */
   avoids: z.array(z.string()).max(16),
-  /** Whether the upstream may already be running the request for an owner that was lost. */
+  /** Whether the upstream may already be running the request for a failed owner. */
   resumes: z.boolean(),
-  /** Number of events of the answer that the caller already has. */
+  /** Number of events of the response that the caller already has. */
   resumeFrom: z.number().int().nonnegative(),
   remainingMs: z.number(),
 });
@@ -45,7 +46,7 @@
   z.object({ type: z.literal("withhold"), exchange }),
   /** The entry cancels the exchange. */
   z.object({ type: z.literal("cancel"), exchange }),
-  /** Flow control: the caller has consumed this many bytes of the answer. */
+  /** Flow control: the caller has consumed this many bytes of the response. */
   z.object({
     type: z.literal("credit"),
     exchange,
@@ -65,14 +66,14 @@
   }),
   /** The owner is about to send the request to the upstream and asks the entry for a `grant`. */
   z.object({ type: z.literal("claim"), exchange }),
-  /** Status and headers of an answer; its body follows in `chunk` frames. */
+  /** Status and headers of a response; its body follows in `chunk` frames. */
   z.object({
     type: z.literal("head"),
     exchange,
     status: z.number().int(),
     headers,
   }),
-  /** Part of the body of an answer, numbered from 0. */
+  /** Part of the body of a response, numbered from 0. */
   z.object({
     type: z.literal("chunk"),
     exchange,
@@ -80,7 +81,7 @@
     events: z.number().int(),
     bytes,
   }),
-  /** End of a complete answer, with the number of chunks and bytes sent, so that the receiver can detect a loss. */
+  /** End of a complete response, with the number of chunks and bytes sent, so that the receiver can detect a loss. */
   z.object({
     type: z.literal("end"),
     exchange,
@@ -105,7 +106,7 @@
     /** Id of an attempt that its holder gave up and this one replaces, or an empty string. */
     replaces: z.string(),
   }),
-  /** Answer of a witness to `vote`: the attempt that it has recorded for the key. */
+  /** Response of a witness to `vote`: the attempt that it has recorded for the key. */
   z.object({
     type: z.literal("voted"),
     exchange,
@@ -142,7 +143,7 @@
     attempt: z.string(),
     waitMs: z.number(),
   }),
-  /** Answer to `outcome`; `released` means that the attempt was not run and never will be. */
+  /** Response to `outcome`; `released` means that the attempt was not run and never will be. */
   z.object({
     type: z.literal("outcome_is"),
     exchange,
@@ -153,7 +154,7 @@
   }),
   /** Requests the configuration values with a revision above `after`. */
   z.object({ type: z.literal("pull"), exchange, after: z.number().int() }),
-  /** Part of the answer to `pull`; `last` marks its end. */
+  /** Part of the response to `pull`; `last` marks its end. */
   z.object({
     type: z.literal("values"),
     exchange,
@@ -162,7 +163,7 @@
   }),
   /** Requests the peer's host list. */
   z.object({ type: z.literal("pull_hosts"), exchange }),
-  /** Answer to `pull_hosts`: the host list that the peer uses. */
+  /** Response to `pull_hosts`: the host list that the peer uses. */
   z.object({ type: z.literal("hosts"), exchange, list: hostListSchema }),
   /** Gossips which requests were in flight on upstreams that crashed; belongs to no exchange. */
   z.object({
--- a/src/peer/peer_connection_pool.ts
+++ b/src/peer/peer_connection_pool.ts
@@ -17,7 +17,7 @@
   onUnreachable: (routerId: string) => void;
 }
 
-/** State of a streamed answer after a frame of it: more frames follow, it is complete, or the frame is unexpected. */
+/** State of a streamed response after a frame of it: more frames follow, it is complete, or the frame is unexpected. */
 export type StreamStep = "more" | "all" | "wrong";
 
 /** Pool of one connection per router, each opened on first use and kept until it is closed. */
@@ -43,16 +43,16 @@
     }
   }
 
-  /** Sends a frame and waits for one answer frame.
+  /** Sends a frame and waits for one response frame.
    * @param routerId Id of the router to ask.
    * @param buildFrame Builds the frame for an exchange number.
-   * @param answerType Expected type of the answer frame.
-   * @param timeoutMs Time limit for the answer.
-   * @returns The answer; undefined if there was none in time or it has another type. */
+   * @param responseType Expected type of the response frame.
+   * @param timeoutMs Time limit for the response.
+   * @returns The response; undefined if there was none in time or it has another type. */
   async request<T extends Frame["type"]>(
     routerId: string,
     buildFrame: (exchange: number) => Frame,
-    answerType: T,
+    responseType: T,
     timeoutMs: number,
   ): Promise<FrameOf<T> | undefined> {
     const client = await this.getClient(routerId);
@@ -61,7 +61,7 @@
       const finish = (frame: Frame | undefined) => {
         clearTimeout(timer);
         client.closeExchange(exchange);
-        resolve(frame?.type === answerType ? frame as FrameOf<T> : undefined);
+        resolve(frame?.type === responseType ? frame as FrameOf<T> : undefined);
       };
       const exchange = client.openExchange(finish);
       const timer = setTimeout(() => finish(undefined), timeoutMs);
@@ -69,12 +69,12 @@
     });
   }
 
-  /** Sends a frame and receives answer frames until the answer is complete.
+  /** Sends a frame and receives response frames until the response is complete.
    * @param routerId Id of the router to ask.
    * @param buildFrame Builds the frame for an exchange number.
-   * @param onFrame Handles each answer frame and returns the state of the answer after it.
-   * @param timeoutMs Time limit for the whole answer.
-   * @returns Whether the answer was complete in time. */
+   * @param onFrame Handles each response frame and returns the state of the response after it.
+   * @param timeoutMs Time limit for the complete response.
+   * @returns Whether the response was complete in time. */
   async requestStream(
     routerId: string,
     buildFrame: (exchange: number) => Frame,
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Closes the connections to routers that the view marks as lost.
+  /** Closes the connections to routers that the view marks as `dead`.
    * @param view The current view of the fleet. */
   closeLostConnections(view: FleetView): void {
     for (const router of view.routers) {
@@ -131,7 +131,7 @@
     if (this.isClosed) throw new Error("peer connection pool is closed");
     if (routerId === this.options.ownId) return this.connectLoopback();
     const router = this.options.getView().getRouter(routerId);
-    if (!router?.host.peerPort) throw new Error(`${routerId}: no peer port`);
+    if (!router?.host.peerPort) throw new Error(`${routerId} is not listed`);
     const address = {
       address: router.host.address,
       port: router.host.peerPort,
--- a/src/peer/web_socket_frame_port.ts
+++ b/src/peer/web_socket_frame_port.ts
@@ -8,9 +8,10 @@
 /** Number of bytes queued for sending above which a connection counts as broken and is terminated. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-/** Control traffic sent over all peer connections of this process: all frames but those of requests and answers. */
+/** Control traffic sent over all peer connections of this process: all frames except `DATA_FRAMES`. */
 export const controlTraffic = { bytes: 0, frames: 0 };
 
+/** Types of the frames that carry requests and responses. */
 const DATA_FRAMES: ReadonlySet<Frame["type"]> = new Set([
   "offer",
   "chunk",
--- a/src/router/build_router_status.ts
+++ b/src/router/build_router_status.ts
@@ -20,7 +20,7 @@
   probes: { bytes: number; messages: number };
 }
 
-/** Builds the status answer of a router. */
+/** Builds the status response of a router. */
 export function buildRouterStatus(inputs: RouterStatusInputs): RouterStatus {
   const { view, probes, ...rest } = inputs;
   return {
--- a/src/router/frame_handlers.ts
+++ b/src/router/frame_handlers.ts
@@ -70,13 +70,13 @@
   frame: FrameOf<"outcome">,
 ): Promise<void> {
   const outcome = await outcomes.get(frame.attempt, frame.waitMs);
-  const answer = outcome.state === "done"
+  const response = outcome.state === "done"
     ? outcome.response
     : { status: 0, headers: {}, body: Buffer.alloc(0) };
   port.send({
     type: "outcome_is",
     exchange: frame.exchange,
     state: outcome.state,
-    ...answer,
+    ...response,
   });
 }
--- a/src/router/host_list_puller.ts
+++ b/src/router/host_list_puller.ts
@@ -44,15 +44,15 @@
     this.isPulling = true;
     const buildFrame = (exchange: number) =>
       ({ type: "pull_hosts", exchange }) as const;
-    const answer = await this.connectionPool.request(
+    const response = await this.connectionPool.request(
       peerId,
       buildFrame,
       "hosts",
       PULL_TIMEOUT_MS,
     );
     this.isPulling = false;
-    if (answer && answer.list.version > this.getVersion()) {
-      this.onList(answer.list);
+    if (response && response.list.version > this.getVersion()) {
+      this.onList(response.list);
     }
   }
 }
--- a/src/router/platform_watcher.ts
+++ b/src/router/platform_watcher.ts
@@ -38,12 +38,12 @@
       PollLoop.create({
         ...commonOptions,
         poll: () => this.readDocuments(this.hasReadDocuments ? watchMs : 0),
-        onOutcome: (turn) => this.logReachability("documents", turn),
+        onOutcome: (result) => this.logReachability("documents", result),
       }),
       PollLoop.create({
         ...commonOptions,
         poll: () => this.readHosts(this.version === 0 ? 0 : watchMs),
-        onOutcome: (turn) => this.logReachability("hosts", turn),
+        onOutcome: (result) => this.logReachability("hosts", result),
       }),
     ];
   }
@@ -100,10 +100,10 @@
   /** Logs when a source becomes unreachable or reachable again. */
   private logReachability(
     what: "documents" | "hosts",
-    turn: PollOutcome,
+    result: PollOutcome,
   ): void {
-    const hasFailed = turn === "failed";
-    if (turn === "idle" || hasFailed === this.failedSources.has(what)) return;
+    const hasFailed = result === "failed";
+    if (result === "idle" || hasFailed === this.failedSources.has(what)) return;
     if (hasFailed) this.failedSources.add(what);
     else this.failedSources.delete(what);
     this.options.logger.info(
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -50,7 +50,7 @@
   private readonly metrics: Metrics;
   private readonly audit: AuditTrail;
   private readonly system: ActorSystem = startActorSystem();
-  private readonly pauseGuard: PauseDetector;
+  private readonly pauseDetector: PauseDetector;
   private readonly authenticator: PeerAuthenticator;
   private readonly loads = LoadTable.create();
   /** @internal */
@@ -82,7 +82,7 @@
     this.outcomes = OutcomeStore.create(settings.keys.rememberMs, MAX_OUTCOMES);
     this.view = FleetView.create(settings.id, 0, [], []);
     this.placement = PlacementTable.create(this.view, settings.region);
-    this.pauseGuard = PauseDetector.create(
+    this.pauseDetector = PauseDetector.create(
       settings.membership.pauseThresholdMs,
       (gapMs) => this.handlePause(gapMs),
     );
@@ -130,8 +130,8 @@
     return router;
   }
 
-  /** Shuts down gracefully: announces that the router is unavailable, keeps serving for the lifetime of a `/locate`
-   * answer, and then completes the open requests, up to `drain.limitMs` from the call. */
+  /** Stops gracefully: announces that the router is unavailable, keeps serving for the lifetime of a `/locate`
+   * response, and then completes the open requests, up to `drain.limitMs` from the call. */
   async drain(): Promise<void> {
     if (this.phase === "draining" || this.phase === "closing") return;
     const deadlineAt = readClock() + this.settings.drain.limitMs;
@@ -157,7 +157,7 @@
     await this.close();
   }
 
-  /** Shuts down immediately. */
+  /** Stops immediately. */
   async close(): Promise<void> {
     this.phase = "closing";
     this.callerServer?.close();
@@ -169,7 +169,7 @@
     this.witness.close();
     this.crashes.close();
     this.configuration.close();
-    this.pauseGuard.close();
+    this.pauseDetector.close();
     this.metrics.close();
     stopActorSystem(this.system);
   }
@@ -188,7 +188,7 @@
     return {
       settings: this.settings,
       system: this.system,
-      guard: this.pauseGuard,
+      guard: this.pauseDetector,
       logger: this.logger,
       audit: this.audit,
       loads: this.loads,
@@ -250,7 +250,7 @@
       metrics,
       audit,
       configuration,
-      connectionPool: connectionPool,
+      connectionPool,
       dispatcher,
       outcomes,
       getView: () => this.view,
--- a/src/router/router_crash_tracker.ts
+++ b/src/router/router_crash_tracker.ts
@@ -27,7 +27,7 @@
     const { logger, metrics } = options;
     this.guard = CrashGuard.create({
       logger,
-      formatFingerprint: formatFingerprint,
+      formatFingerprint,
       onPendingReports: () => this.gossip.scheduleBatch(),
       onHeld: () => undefined,
       onCrash: () => metrics.count("upstream_crashes"),
--- a/src/router/router_status.ts
+++ b/src/router/router_status.ts
@@ -1,7 +1,7 @@
 import type { RouterPhase } from "../entry/entry_context.ts";
 import type { UpstreamStatus } from "../owner/upstream_status.ts";
 
-/** The status answer of a router. */
+/** The status response of a router. */
 export interface RouterStatus {
   id: string;
   version: string;
@@ -15,8 +15,8 @@
   /** Number of idempotency keys stored for the fleet, and whether the records of all other routers were received since
    * the start. */
   witness: { keys: number; synchronized: boolean };
-  /** Control traffic sent to other routers since the start: probes, and frames other than those of requests and
-   * answers. */
+  /** Control traffic sent to other routers since the start: probes, and frames other than those that carry requests
+   * and responses. */
   control: {
     probeBytes: number;
     probeMessages: number;
--- a/src/witness/key_claim.ts
+++ b/src/witness/key_claim.ts
@@ -143,8 +143,7 @@
     id: string,
     replaces: string,
   ): Promise<FrameOf<"voted"> | undefined> {
-    const { connectionPool: connectionPool, ownId, voteTimeoutMs } =
-      this.options;
+    const { connectionPool, ownId, voteTimeoutMs } = this.options;
     const { key, fingerprint, attempt } = this;
     const buildFrame = (exchange: number) =>
       ({
--- a/src/witness/key_record_store.ts
+++ b/src/witness/key_record_store.ts
@@ -16,7 +16,7 @@
     return new KeyRecordStore(rememberMs);
   }
 
-  /** Stores an attempt unless a different one is stored, and returns the record that is stored afterwards.
+  /** Stores an attempt unless one is stored that it does not replace, and returns the record that is stored afterwards.
    * @param key The idempotency key.
    * @param record The attempt.
    * @param replaces Id of the attempt that may be replaced because its holder gave it up.
--- a/src/witness/witness.ts
+++ b/src/witness/witness.ts
@@ -66,7 +66,7 @@
     return new Witness(options);
   }
 
-  /** Returns the witness part of the status answer. */
+  /** Returns the witness part of the status response. */
   describe(): { keys: number; synchronized: boolean } {
     return {
       keys: this.recordStore.getRecords().size,
@@ -101,7 +101,7 @@
   }
 
   /** Pulls the records of the keys that this router is a witness of from all other routers, and retries until all have
-   * answered in one round. This router then knows every attempt that the others know, and counts as settled. */
+   * responded in one round. This router then knows every attempt that the others know, and counts as settled. */
   async synchronize(): Promise<void> {
     while (!this.isClosed) {
       const startedAt = Date.now();
