--- a/fakes/engine_stream.ts
+++ b/fakes/engine_stream.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from "node:http";
 import type { LedgerRun } from "./ledger.ts";
 
-/** One answer that a fake engine is generating. */
+/** One response that a fake engine is generating. */
 export interface EngineStream {
   run: LedgerRun;
   prompt: string;
--- a/fakes/engine_timing.ts
+++ b/fakes/engine_timing.ts
@@ -1,7 +1,7 @@
 /** Duration of one decoding step in milliseconds, and the part that each request in flight adds to it. */
 const BASE_STEP_MS = 3.23;
 const STEP_MS_PER_REQUEST = 0.0483;
-/** Decoding steps per event of an answer. */
+/** Decoding steps per event of a response. */
 const STEPS_PER_EVENT = 7;
 /** Time to the first event in addition to the prefill of the prompt, in milliseconds. */
 const FIRST_EVENT_OVERHEAD_MS = 47;
--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -15,10 +15,10 @@
   type UpstreamAvailability,
 } from "./upstream_availability.ts";
 
-/** A fault that an engine injects into its answers. */
+/** A fault that an engine injects into its responses. */
 export type EngineFault = "none" | "crossed" | "truncated" | "silent";
 
-/** Time for which an engine keeps an answer after its reader has disconnected, in milliseconds. */
+/** Time for which an engine keeps a response after its reader has disconnected, in milliseconds. */
 const ABANDONED_STREAM_TTL_MS = 3_000;
 const DEFAULT_COMPLETION_TOKENS = 20;
 
--- a/fakes/fake_engine_options.ts
+++ b/fakes/fake_engine_options.ts
@@ -6,7 +6,7 @@
   cacheTokens: number;
   /** Time to prefill a thousand uncached prompt tokens, in milliseconds. */
   prefillMsPerThousand: number;
-  /** Time per token of an answer, in milliseconds, before the slowdown by the requests in flight. */
+  /** Time per token of a response, in milliseconds, before the slowdown by the requests in flight. */
   tokenMs: number;
   /** Fraction that each request in flight adds to the time per token of all of them. */
   batchSlowdown: number;
--- a/fakes/fake_platform.ts
+++ b/fakes/fake_platform.ts
@@ -2,7 +2,7 @@
 import type { Host } from "../src/configuration_service/host_schema.ts";
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 
-/** Mode of a fake platform: `up` serves what is published, `down` closes connections without an answer, `stale`
+/** Mode of a fake platform: `up` serves what is published, `down` closes connections without a response, `stale`
  * serves the pinned documents. */
 export type PlatformMode = "up" | "down" | "stale";
 
@@ -14,7 +14,7 @@
 
 interface Waiter {
   isReady: () => boolean;
-  answer: () => void;
+  respond: () => void;
 }
 
 /** A fake platform that serves documents with revisions and a list of hosts, for reading and long polling only. */
@@ -65,7 +65,7 @@
   publish(key: string, value: unknown): number {
     this.revision += 1;
     this.values.set(key, { key, revision: this.revision, value });
-    this.answerReadyWaiters();
+    this.respondToReadyWaiters();
     return this.revision;
   }
 
@@ -74,7 +74,7 @@
   publishHosts(hosts: Host[]): void {
     this.version += 1;
     this.hosts = hosts;
-    this.answerReadyWaiters();
+    this.respondToReadyWaiters();
   }
 
   /** Pins the documents published so far as those served in the `stale` mode. */
@@ -82,11 +82,11 @@
     this.staleValues = new Map(this.values);
   }
 
-  /** Changes the mode. Pending long polls are answered unless the new mode is `up` and there is nothing new.
+  /** Changes the mode. Pending long polls end unless the new mode is `up` and there is nothing new.
    * @param mode The new mode. */
   setMode(mode: PlatformMode): void {
     this.mode = mode;
-    this.answerReadyWaiters();
+    this.respondToReadyWaiters();
   }
 
   /** Stops the platform. */
@@ -131,18 +131,18 @@
   ): void {
     this.calls += 1;
     if (waitMs === 0 || isReady() || this.mode === "down") {
-      return this.answer(response, send);
+      return this.respond(response, send);
     }
-    const waiter = { isReady, answer: () => this.answer(response, send) };
+    const waiter = { isReady, respond: () => this.respond(response, send) };
     this.waiters.push(waiter);
     setTimeout(() => {
       if (!this.waiters.includes(waiter)) return;
       this.waiters = this.waiters.filter((other) => other !== waiter);
-      waiter.answer();
+      waiter.respond();
     }, waitMs).unref();
   }
 
-  private answer(response: ServerResponse, send: () => void): void {
+  private respond(response: ServerResponse, send: () => void): void {
     if (this.mode === "down") response.destroy();
     else send();
   }
@@ -165,11 +165,11 @@
     });
   }
 
-  private answerReadyWaiters(): void {
+  private respondToReadyWaiters(): void {
     const ready = this.waiters.filter((waiter) =>
       waiter.isReady() || this.mode !== "up"
     );
     this.waiters = this.waiters.filter((waiter) => !ready.includes(waiter));
-    for (const waiter of ready) waiter.answer();
+    for (const waiter of ready) waiter.respond();
   }
 }
--- a/fakes/fake_service.ts
+++ b/fakes/fake_service.ts
@@ -16,7 +16,7 @@
   port: number;
 }
 
-/** A fault that a service injects into its answers. */
+/** A fault that a service injects into its responses. */
 export type ServiceFault = "none" | "crossed" | "silent";
 
 /** A fake plain service, such as one that takes bookings, with a ledger of every run. */
@@ -96,8 +96,10 @@
     this.ledger.recordLoad(--this.inFlight);
     run.endedAt = Date.now();
     if (this.fault === "silent") return;
-    const answeredId = this.fault === "crossed" ? "another-request" : requestId;
-    response.setHeader("x-request-id", answeredId);
+    const responseRequestId = this.fault === "crossed"
+      ? "another-request"
+      : requestId;
+    response.setHeader("x-request-id", responseRequestId);
     reply(response, {
       confirmed: true,
       key: run.key,
--- a/fakes/fake_store.ts
+++ b/fakes/fake_store.ts
@@ -1,8 +1,8 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { closeHttp, listenHttp, reply } from "./http_fake.ts";
 
-/** Behaviour of a fake store: answers normally, answers each call with 503, answers watches with 410, or does not
- * answer at all. */
+/** Behaviour of a fake store: responds normally, responds to each call with 503, responds to watches with 410,
+ * or does not respond at all. */
 export type StoreBehaviour = "well" | "unavailable" | "history_lost" | "silent";
 
 interface Item {
@@ -15,7 +15,7 @@
 
 interface PendingWatch {
   after: number;
-  answer: () => void;
+  respond: () => void;
 }
 
 /** Snapshot of a store's items, from which it can be restored. */
@@ -31,7 +31,7 @@
   calls = 0;
   /** Number of range reads among the calls. */
   rangeReads = 0;
-  /** Era sent in all answers, incremented by each restore; undefined if no era is sent. */
+  /** Era sent in all responses, incremented by each restore; undefined if no era is sent. */
   era: number | undefined = 1;
   private revision = 0;
   private items = new Map<string, Item>();
@@ -73,7 +73,7 @@
       revision: this.revision,
       created,
     });
-    this.answerPendingWatches();
+    this.respondToPendingWatches();
   }
 
   /** Deletes a value. The store keeps a tombstone, so that watches see the deletion.
@@ -83,7 +83,7 @@
     const created = this.items.get(key)?.created ?? 0;
     const { revision } = this;
     this.items.set(key, { private_key: key, revision, created, deleted: true });
-    this.answerPendingWatches();
+    this.respondToPendingWatches();
   }
 
   /** Takes a snapshot of all items. */
@@ -97,7 +97,7 @@
     this.revision = snapshot.revision;
     this.items = new Map(snapshot.items);
     this.era = (this.era ?? 0) + 1;
-    this.answerPendingWatches();
+    this.respondToPendingWatches();
   }
 
   /** Writes the lost items again, as their writers do, except those changed since the restore.
@@ -124,8 +124,8 @@
     response.setHeader("Store-Era", String(this.era));
   }
 
-  private answerPendingWatches(): void {
-    for (const waiting of [...this.waiting]) waiting.answer();
+  private respondToPendingWatches(): void {
+    for (const waiting of [...this.waiting]) waiting.respond();
   }
 
   private handle(request: IncomingMessage, response: ServerResponse): void {
@@ -135,22 +135,28 @@
     if (this.behaviour === "silent") return;
     if (this.behaviour === "unavailable") return reply(response, {}, 503);
     const handlers: Record<string, () => void> = {
-      "/kv-key": () => this.answerKey(response, url.searchParams),
-      "/kv-range": () => this.answerRange(response, url.searchParams),
-      "/kv-watch": () => this.answerWatch(response, url.searchParams),
+      "/kv-key": () => this.respondToKeyRead(response, url.searchParams),
+      "/kv-range": () => this.respondToRangeRead(response, url.searchParams),
+      "/kv-watch": () => this.respondToWatch(response, url.searchParams),
     };
     const handler = handlers[url.pathname];
     if (handler) handler();
     else reply(response, {}, 404);
   }
 
-  private answerKey(response: ServerResponse, query: URLSearchParams): void {
+  private respondToKeyRead(
+    response: ServerResponse,
+    query: URLSearchParams,
+  ): void {
     const item = this.items.get(query.get("private_key") ?? "");
     if (!item || item.deleted) return reply(response, {}, 404);
     reply(response, { ...item, timestamp: this.revision });
   }
 
-  private answerRange(response: ServerResponse, query: URLSearchParams): void {
+  private respondToRangeRead(
+    response: ServerResponse,
+    query: URLSearchParams,
+  ): void {
     this.rangeReads += 1;
     const prefix = query.get("path_prefix") ?? "";
     const after = query.get("after") ?? "";
@@ -165,7 +171,10 @@
     });
   }
 
-  private answerWatch(response: ServerResponse, query: URLSearchParams): void {
+  private respondToWatch(
+    response: ServerResponse,
+    query: URLSearchParams,
+  ): void {
     if (this.behaviour === "history_lost") return reply(response, {}, 410);
     const after = Number(query.get("after"));
     if (after > this.revision) return reply(response, {}, 410);
@@ -174,20 +183,20 @@
       [...this.items.values()].filter((item) =>
         item.revision > after && item.private_key.startsWith(prefix)
       ).sort((a, b) => a.revision - b.revision);
-    const answer = () => {
+    const respond = () => {
       clearTimeout(timer);
       this.waiting.delete(waiting);
       this.writeEraHeader(response);
       if (after > this.revision) return reply(response, {}, 410);
       reply(response, { events: findEvents(), timestamp: this.revision });
     };
-    const waiting = { after, answer };
-    const timer = setTimeout(answer, Number(query.get("wait_ms")));
+    const waiting = { after, respond };
+    const timer = setTimeout(respond, Number(query.get("wait_ms")));
     response.on("close", () => {
       clearTimeout(timer);
       this.waiting.delete(waiting);
     });
-    if (findEvents().length > 0) answer();
+    if (findEvents().length > 0) respond();
     else this.waiting.add(waiting);
   }
 }
--- a/fakes/fake_worker.ts
+++ b/fakes/fake_worker.ts
@@ -45,8 +45,8 @@
     return worker;
   }
 
-  /** Headers that seal an answer: the attempt id and the response seal, without which an answer does not count.
-   * @param request The request that is answered. */
+  /** Headers that seal a response: the attempt id and the response seal, without which a response does not count.
+   * @param request The request that the response belongs to. */
   buildSealHeaders(request: IncomingMessage): Record<string, string> {
     return {
       "X-Beechkeel-Attempt-Id": String(
@@ -88,7 +88,7 @@
   }
 }
 
-/** Answers with the worker's id and the headers that seal the answer. */
+/** Responds with the worker's id and the headers that seal the response. */
 export const answerSuccessfully: WorkerBehaviour = (
   request,
   response,
@@ -99,7 +99,7 @@
 };
 
 /** Builds a behaviour that declines each request as not executed.
- * @param headers Further headers of the answers. */
+ * @param headers Further headers of the responses. */
 export function declineRequests(
   headers: Record<string, string> = {},
 ): WorkerBehaviour {
--- a/fakes/prompt_traffic.ts
+++ b/fakes/prompt_traffic.ts
@@ -13,7 +13,7 @@
   prompts: number;
   /** Length of a shared prompt in tokens. */
   tokens: number;
-  /** Mean number of events of an answer, and the standard deviation of its logarithm. */
+  /** Mean number of events of a response, and the standard deviation of its logarithm. */
   events: number;
   spread: number;
 }
@@ -48,7 +48,7 @@
   prompt: number;
   /** Length of the shared prompt in tokens. */
   tokens: number;
-  /** Number of events of the answer. */
+  /** Number of events of the response. */
   events: number;
 }
 
@@ -129,7 +129,7 @@
   return sums.findIndex((sum) => drawn < sum);
 }
 
-/** Draws the number of events of an answer from a log-normal distribution, clamped to 1 and three times the mean. */
+/** Draws the number of events of a response from a log-normal distribution, clamped to 1 and three times the mean. */
 function drawEvents(kind: RequestKind, random: Random): number {
   const { events, spread } = kind;
   const angle = 2 * Math.PI * random.fraction();
--- a/fakes/upstream_availability.ts
+++ b/fakes/upstream_availability.ts
@@ -2,19 +2,19 @@
 import { reply } from "./http_fake.ts";
 import type { Ledger } from "./ledger.ts";
 
-/** Availability that a fake upstream announces in its answers. */
+/** Availability that a fake upstream announces in its responses. */
 export interface UpstreamAvailability {
   /** Backoff in seconds that it asks for when it declines a request; undefined if it accepts requests. */
   backoffSeconds: number | undefined;
-  /** Whether its answers announce that it is leaving, independently of its report. */
+  /** Whether its responses announce that it is leaving, independently of its report. */
   announcesLeaving: boolean;
   /** Ledger in which declined requests are recorded. */
   readonly ledger: Ledger;
 }
 
-/** Adds an upstream's availability to the headers of an answer, and declines the request if the upstream asks for a
+/** Adds an upstream's availability to the headers of a response, and declines the request if the upstream asks for a
  * backoff. Returns whether the request was declined.
- * @param response The answer.
+ * @param response The response.
  * @param availability The availability. */
 export function applyAvailability(
   response: ServerResponse,
--- a/soak/answer_invariants.ts
+++ b/soak/answer_invariants.ts
@@ -1,4 +1,4 @@
-import { checkBackoffs, checkLeavingAnswers } from "./availability.ts";
+import { checkBackoffs, checkLeavingResponses } from "./availability.ts";
 import { BOUNDS, FAULT_RECOVERY_MS } from "./bounds.ts";
 import { type CallerAttempt, KIND_RULES } from "./caller_attempt.ts";
 import { checkCrashingRequests } from "./crashing_requests.ts";
@@ -14,31 +14,35 @@
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** Statuses that deny a request that the configuration does not allow. */
 const DENIAL_STATUSES: ReadonlySet<number> = new Set([400, 401, 403, 404, 413]);
-/** Time after the end of a worker's answer in which its last bytes may not have been sent yet, in milliseconds: answers
- * that the worker had ended were lost when it crashed 0.2 and 0.9 ms later. */
+/** Time after the end of a worker's response in which its last bytes may not have been sent yet, in milliseconds:
+ * responses that the worker had ended were lost when it crashed 0.2 and 0.9 ms later. */
 const FINAL_FLUSH_MS = 5;
-/** Share of a planned stop's duration in which requests must complete; later, those still running may be cut off. */
+/** Share of a graceful stop's duration in which requests must complete; later, those still running may be cut off. */
 const GRACEFUL_STOP_SHARE = 0.83;
 
 /** Checks of the invariants that hold regardless of timing, by the name that is printed with breaches. */
-export const ANSWER_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
-  "an answer is that of its own request, and whole": checkAnswers,
-  "a failure with a worker's seal is the worker's": checkSealedFailures,
-  "what may run once runs once": checkSingleRuns,
-  "what is said not to have run has not": checkNotRunAnswers,
-  "a worker runs what a caller sent": checkUnchanged,
+export const RESPONSE_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
+  "a response belongs to its request, and is complete if it ends normally":
+    checkResponses,
+  "an error response with a worker's seal was sent by a worker":
+    checkSealedFailures,
+  "a non-repeatable request runs at most once": checkSingleRuns,
+  "a request reported as not run has not run": checkNotRunResponses,
+  "a request reaches its worker unchanged": checkUnchanged,
   "no request reaches more workers than its route allows": checkWorkerCounts,
-  "a configuration never goes back": checkRollbacks,
-  "a sound worker's answer reaches its caller": checkLostAnswers,
-  "nothing proper is denied": checkDenials,
+  "a gateway never reverts to an older configuration": checkRollbacks,
+  "the response of an undisturbed worker reaches its caller":
+    checkLostResponses,
+  "no permitted request is denied": checkDenials,
   "a request that crashed three workers reaches few more":
     checkCrashingRequests,
-  "a worker that asked for a backoff gets few requests in it": checkBackoffs,
-  "a worker that says it leaves gets no new work from who passed that on":
-    checkLeavingAnswers,
+  "a worker that asked for a backoff gets few requests during it":
+    checkBackoffs,
+  "a gateway sends no new requests to a worker after forwarding that it leaves":
+    checkLeavingResponses,
 };
 
-function checkAnswers({ attempts }: Evidence): string[] {
+function checkResponses({ attempts }: Evidence): string[] {
   return attempts.filter((attempt) => attempt.status === 200).flatMap(
     (attempt) => {
       const problem = attempt.seal === undefined
@@ -71,7 +75,7 @@
   if (wrong >= 0) return `event ${wrong + 1} is ${blocks[wrong]}`;
   const missing = countEvents(path) - afterEvent - blocks.length;
   if (isWhole && (rest !== "" || missing !== 0)) {
-    return `ends as whole with ${missing} events missing`;
+    return `ends as complete with ${missing} events missing`;
   }
   return undefined;
 }
@@ -97,7 +101,7 @@
   ).map((attempt) => `${attempt.requestId} ran more than once`);
 }
 
-function checkNotRunAnswers(evidence: Evidence): string[] {
+function checkNotRunResponses(evidence: Evidence): string[] {
   const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.filter((attempt) =>
     !KIND_RULES[attempt.kind].mayRepeat &&
@@ -132,7 +136,7 @@
   });
 }
 
-/** Finds requests served by an older version of the configuration although they were sent after an answer of the same
+/** Finds requests served by an older version of the configuration although they were sent after a response of the same
  * start of the gateway had shown a newer one. */
 function checkRollbacks({ attempts }: Evidence): string[] {
   const served = attempts.filter((attempt) =>
@@ -140,7 +144,8 @@
   );
   return served.flatMap((later) => {
     const newer = served.find((earlier) =>
-      earlier.gateway === later.gateway && earlier.life === later.life &&
+      earlier.gateway === later.gateway &&
+      earlier.gatewayStart === later.gatewayStart &&
       earlier.version! > later.version! && earlier.endedAt! < later.sentAt
     );
     return newer
@@ -149,7 +154,7 @@
   });
 }
 
-function checkLostAnswers(evidence: Evidence): string[] {
+function checkLostResponses(evidence: Evidence): string[] {
   const runsById = groupRunsById(evidence.runs);
   return evidence.attempts.flatMap((attempt) => {
     const run = runsById.get(attempt.requestId)?.at(-1);
@@ -157,29 +162,29 @@
     return isUndisturbedRun(run, evidence) &&
         isUndisturbedAttempt(attempt, evidence)
       ? [
-        `${attempt.requestId}: ${run.worker} answered, ${attempt.gateway} did not (status ${attempt.status})`,
+        `${attempt.requestId}: ${run.worker} responded, ${attempt.gateway} did not (status ${attempt.status})`,
       ]
       : [];
   });
 }
 
-/** Whether the worker sent its complete answer and no fault affected it meanwhile. */
+/** Whether the worker sent its complete response and no fault affected it meanwhile. */
 function isUndisturbedRun(run: WorkerRun, { faults }: Evidence): boolean {
   const leftAt = (run.endedAt ?? Infinity) + FINAL_FLUSH_MS;
-  return run.isWhole && !run.wasCancelled &&
-    !faults.wasHit(run.worker, run.startedAt - FAULT_RECOVERY_MS, leftAt);
+  return run.isComplete && !run.wasCancelled &&
+    !faults.wasAffected(run.worker, run.startedAt - FAULT_RECOVERY_MS, leftAt);
 }
 
-/** Whether no unplanned fault affected the gateway, and no planned stop was due to cut the request off. */
+/** Whether no unplanned fault affected the gateway, and no graceful stop was due to cut the request off. */
 function isUndisturbedAttempt(
   attempt: CallerAttempt,
   evidence: Evidence,
 ): boolean {
   const { gateway, sentAt, endedAt } = attempt;
   const until = endedAt ?? Infinity;
-  if (evidence.faults.wasHit(gateway, sentAt, until)) return false;
+  if (evidence.faults.wasAffected(gateway, sentAt, until)) return false;
   const gracefulMs = BOUNDS.stopWithinMs * GRACEFUL_STOP_SHARE;
-  return !evidence.plannedStops.some((stop) =>
+  return !evidence.gracefulStops.some((stop) =>
     stop.gateway === gateway && until > stop.at + gracefulMs &&
     sentAt < stop.at + BOUNDS.stopWithinMs + FAULT_RECOVERY_MS
   );
--- a/soak/availability.ts
+++ b/soak/availability.ts
@@ -1,4 +1,4 @@
-/** Workers that announce their availability in answers: the faults, and the checks of how hosts react to them. */
+/** Workers that announce their availability in responses: the faults, and the checks of how hosts react to them. */
 import { setTimeout as delay } from "node:timers/promises";
 import type { Random } from "../src/random/random.ts";
 import { BOUNDS, WORKER_DRAIN_MS } from "./bounds.ts";
@@ -11,7 +11,7 @@
 const BACKOFF_RANGE_MS = [600, 3_000] as const;
 /** Range of the time for which a worker declines requests, in milliseconds. */
 const DECLINE_RANGE_MS = [500, 5_000] as const;
-/** Time after an answer in which requests that were already in flight may still arrive, in milliseconds. */
+/** Time after a response in which requests that were already in flight may still arrive, in milliseconds. */
 const IN_FLIGHT_MS = 500;
 /** Most requests that a host may send to a worker in the rest of its backoff. */
 const MAX_REQUESTS_IN_BACKOFF = 2;
@@ -34,7 +34,7 @@
   fleet.faults.end(window);
 }
 
-/** Replaces a worker that announces this in its answers only: its entry stays until it stops. */
+/** Replaces a worker that announces this in its responses only: its entry stays until it stops. */
 export async function leaveByAnswers(
   fleet: SoakFleet,
   random: Random,
@@ -77,8 +77,10 @@
     const from = at + IN_FLIGHT_MS + lagMs;
     const to = at + backoffMs;
     if (gateway === undefined || from > to) return [];
-    // A connection that was cut or delayed may have lost the answer, or delivered it late.
-    if (faults.wasHit(gateway, at, to) || faults.wasHit(worker, at, to)) {
+    // A connection that was cut or delayed may have lost the response, or delivered it late.
+    if (
+      faults.wasAffected(gateway, at, to) || faults.wasAffected(worker, at, to)
+    ) {
       return [];
     }
     const count = arrivals.filter((arrival) =>
@@ -93,30 +95,31 @@
   });
 }
 
-/** Finds requests that a host sent to a worker too long after it had forwarded an answer announcing that the worker
+/** Finds requests that a host sent to a worker too long after it had forwarded a response announcing that the worker
  * leaves.
  * @param evidence What callers, workers and the store saw. */
-export function checkLeavingAnswers(evidence: Evidence): string[] {
+export function checkLeavingResponses(evidence: Evidence): string[] {
   const { attempts, runs, faults, lagMs } = evidence;
   const byId = new Map(attempts.map((attempt) => [attempt.requestId, attempt]));
-  /** Time of the first complete answer with the announcement, by gateway, start of the gateway, and worker. */
+  /** Time of the first complete response with the announcement, by gateway, start of the gateway, and worker. */
   const announcedAt = new Map<string, number>();
-  for (const { requestId, worker, saidLeaving } of runs) {
+  for (const { requestId, worker, announcedLeaving } of runs) {
     const attempt = byId.get(requestId);
-    if (!saidLeaving || !attempt?.isWhole) continue;
-    const key = `${attempt.gateway} ${attempt.life} ${worker}`;
+    if (!announcedLeaving || !attempt?.isWhole) continue;
+    const key = `${attempt.gateway} ${attempt.gatewayStart} ${worker}`;
     const endedAt = attempt.endedAt ?? Infinity;
     announcedAt.set(key, Math.min(endedAt, announcedAt.get(key) ?? Infinity));
   }
   return runs.flatMap(({ requestId, worker, startedAt }) => {
     const attempt = byId.get(requestId);
     if (!attempt) return [];
-    const { gateway, life, sentAt } = attempt;
-    const at = announcedAt.get(`${gateway} ${life} ${worker}`) ?? Infinity;
+    const { gateway, gatewayStart, sentAt } = attempt;
+    const at = announcedAt.get(`${gateway} ${gatewayStart} ${worker}`) ??
+      Infinity;
     const isLate = sentAt > at + BOUNDS.leaveWithinMs + lagMs;
-    return isLate && !faults.wasHit(gateway, at, startedAt)
+    return isLate && !faults.wasAffected(gateway, at, startedAt)
       ? [
-        `${requestId} reached ${worker} from ${gateway}, which had forwarded that it leaves`,
+        `${requestId} reached ${worker} from ${gateway}, which had forwarded that the worker leaves`,
       ]
       : [];
   });
--- a/soak/bounds.ts
+++ b/soak/bounds.ts
@@ -2,7 +2,7 @@
 export const BOUNDS = {
   /** Time after which a leaving worker must receive no new requests. */
   leaveWithinMs: 1_500,
-  /** Longest duration of a planned stop. */
+  /** Longest duration of a graceful stop. */
   stopWithinMs: 5_000,
   /** Time after which a revoked API key must no longer be accepted. */
   revokeWithinMs: 4_000,
@@ -12,8 +12,8 @@
   retryExtra: 60,
 } as const;
 
-/** Time after a route's timeout by which the final answer must have arrived, in milliseconds. */
-export const FINAL_ANSWER_GRACE_MS = 500;
+/** Time after a route's timeout by which the final response must have arrived, in milliseconds. */
+export const FINAL_RESPONSE_GRACE_MS = 500;
 /** Time after a caller has disconnected by which work on its request must have ended, in milliseconds. */
 export const CANCEL_TIMEOUT_MS = 500;
 /** Time for which a leaving worker keeps serving once it must receive no new requests, in milliseconds. */
--- a/soak/caller_attempt.ts
+++ b/soak/caller_attempt.ts
@@ -37,7 +37,7 @@
   version: { method: "GET", ...PLAIN_SERVICE, ...REPEATABLE },
 };
 
-/** One attempt of a caller and its answer. Times are monotonic milliseconds of the soak process. */
+/** One attempt of a caller and its response. Times are monotonic milliseconds of the soak process. */
 export interface CallerAttempt {
   requestId: string;
   kind: RequestKind;
@@ -52,21 +52,21 @@
   afterEvent: number;
   gateway: string;
   /** Which start of the gateway's process the request was sent to, as a count of its starts. */
-  life: number;
+  gatewayStart: number;
   sentAt: number;
   endedAt: number | undefined;
   status: number | undefined;
-  /** Response seal of the worker; undefined if the answer has none. */
+  /** Response seal of the worker; undefined if the response has none. */
   seal: string | undefined;
   text: string;
-  /** Whether the answer ended normally. */
+  /** Whether the response ended normally. */
   isWhole: boolean;
   /** When the caller gave up and closed its connection; undefined if it did not. */
   gaveUpAt: number | undefined;
 }
 
-/** Fields of an attempt whose answer has not arrived yet. */
-export const NO_ANSWER = {
+/** Fields of an attempt whose response has not arrived yet. */
+export const NO_RESPONSE = {
   endedAt: undefined,
   status: undefined,
   seal: undefined,
--- a/soak/crashing_requests.ts
+++ b/soak/crashing_requests.ts
@@ -82,7 +82,7 @@
     const thirdAt = times[2] ?? Infinity;
     const late = times.filter((at) => at > thirdAt + DETECTION_MS);
     return late.length > MAX_LATE_RUNS
-      ? [`${path} reached ${late.length} workers after three had ended`]
+      ? [`${path} reached ${late.length} workers after three had crashed`]
       : [];
   });
 }
@@ -94,7 +94,7 @@
   /** Number of workers that they crashed. */
   crashes: number;
   /** Number of attempts of other requests that were refused as crashing requests. */
-  innocentRefused: number;
+  wronglyRefused: number;
 }
 
 /** Summarizes the crashing requests of a run.
@@ -111,6 +111,6 @@
   return {
     requests: new Set(attempts.filter(isCrashing).map(({ path }) => path)).size,
     crashes: runs.filter(isCrashing).length,
-    innocentRefused: refused.filter((attempt) => !isCrashing(attempt)).length,
+    wronglyRefused: refused.filter((attempt) => !isCrashing(attempt)).length,
   };
 }
--- a/soak/evidence.ts
+++ b/soak/evidence.ts
@@ -17,10 +17,10 @@
   at: number;
 }
 
-/** A planned stop of a gateway. */
-export interface PlannedStop {
+/** A graceful stop of a gateway. */
+export interface GracefulStop {
   gateway: string;
-  life: number;
+  gatewayStart: number;
   at: number;
 }
 
@@ -31,7 +31,7 @@
   declines: readonly WorkerDecline[];
   versions: readonly PublishedVersion[];
   leaveAnnouncements: readonly LeaveAnnouncement[];
-  plannedStops: readonly PlannedStop[];
+  gracefulStops: readonly GracefulStop[];
   faults: FaultLog;
   /** Longest event loop delay of the soak process, in milliseconds. */
   lagMs: number;
--- a/soak/fault_log.ts
+++ b/soak/fault_log.ts
@@ -3,7 +3,7 @@
   name: string;
   /** Ids of the affected gateways or workers, or `store`. */
   targets: readonly string[];
-  /** Whether it is a planned operation, which does not excuse failures. */
+  /** Whether it is a planned operation, because of which no request may fail. */
   isPlanned: boolean;
   from: number;
   /** Undefined while the fault lasts. */
@@ -47,7 +47,7 @@
    * @param target Id of a gateway or worker, or `store`.
    * @param from Start of the interval.
    * @param to End of the interval. */
-  wasHit(target: string, from: number, to: number): boolean {
+  wasAffected(target: string, from: number, to: number): boolean {
     return this.windows.some((window) =>
       !window.isPlanned && window.targets.includes(target) &&
       window.from <= to && (window.to ?? Infinity) >= from
--- a/soak/regression_seeds.ts
+++ b/soak/regression_seeds.ts
@@ -49,8 +49,8 @@
     seconds: 20,
     faults: INITIAL_FAULTS,
     cause:
-      "a second SIGTERM ended a gateway that was stopping; and two faults of the stand-ins: the proxy passed resets on " +
-      "as plain ends, and a worker sent surplus bytes after an answer without a length",
+      "a second SIGTERM ended a gateway that was stopping; and two faults of the fakes: the proxy forwarded resets " +
+      "as plain ends, and a worker sent surplus bytes after a response without a length",
   },
   {
     seed: 8019,
--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { Random } from "../src/random/random.ts";
 import type { Evidence } from "./evidence.ts";
-import { ANSWER_INVARIANTS } from "./answer_invariants.ts";
+import { RESPONSE_INVARIANTS } from "./answer_invariants.ts";
 import { TIMING_INVARIANTS } from "./timing_invariants.ts";
 import { describeResult, type SeedResult } from "./seed_result.ts";
 import { SoakCaller } from "./soak_caller.ts";
@@ -141,7 +141,7 @@
 
 function checkInvariants(evidence: Evidence, checksTiming: boolean): string[] {
   const checks = {
-    ...ANSWER_INVARIANTS,
+    ...RESPONSE_INVARIANTS,
     ...(checksTiming ? TIMING_INVARIANTS : {}),
   };
   return Object.entries(checks).flatMap(([invariant, check]) =>
--- a/soak/soak_caller.ts
+++ b/soak/soak_caller.ts
@@ -4,7 +4,7 @@
 import {
   type CallerAttempt,
   KIND_RULES,
-  NO_ANSWER,
+  NO_RESPONSE,
   type RequestKind,
 } from "./caller_attempt.ts";
 import type { GatewayProcess } from "./gateway_process.ts";
@@ -29,8 +29,8 @@
 const GIVE_UP_SHARE = 0.06;
 /** Range of the time after which a caller gives up, in milliseconds. */
 const GIVE_UP_RANGE_MS = [5, 250] as const;
-/** Time that a caller waits for an answer beyond the route's timeout, in milliseconds. */
-const ANSWER_MARGIN_MS = 4_000;
+/** Time that a caller waits for a response beyond the route's timeout, in milliseconds. */
+const RESPONSE_MARGIN_MS = 4_000;
 /** Number of chats that callers return to. */
 const CHAT_COUNT = 24;
 /** Timeout for connecting to a gateway, in milliseconds. */
@@ -159,7 +159,7 @@
     const { isStream, method } = KIND_RULES[kind];
     const chat = this.random.integer(1, CHAT_COUNT);
     return {
-      ...NO_ANSWER,
+      ...NO_RESPONSE,
       requestId,
       kind,
       path: buildPath(kind, requestId, version),
@@ -169,7 +169,7 @@
       version: kind === "version" ? version : undefined,
       afterEvent: 0,
       gateway: gateway.id,
-      life: gateway.program.starts,
+      gatewayStart: gateway.program.starts,
       sentAt: performance.now(),
     };
   }
@@ -182,7 +182,7 @@
     const client = this.getClient(gateway.callerAddress);
     this.fleet.attempts.push(attempt);
     const { timeoutMs } = KIND_RULES[attempt.kind];
-    const limitMs = giveUpMs ?? timeoutMs + ANSWER_MARGIN_MS;
+    const limitMs = giveUpMs ?? timeoutMs + RESPONSE_MARGIN_MS;
     const timer = setTimeout(() => {
       attempt.gaveUpAt = performance.now();
       this.closeClient(gateway.callerAddress, client);
@@ -190,7 +190,7 @@
     try {
       await exchange(attempt, client);
     } catch {
-      // The checks evaluate broken answers from what the attempt holds, so the error itself adds nothing.
+      // The checks evaluate broken responses from what the attempt holds, so the error itself adds nothing.
       this.closeClient(gateway.callerAddress, client);
     } finally {
       clearTimeout(timer);
@@ -217,19 +217,19 @@
   }
 }
 
-/** Sends a request and records in the attempt as much of the answer as arrives. */
+/** Sends a request and records in the attempt as much of the response as arrives. */
 async function exchange(attempt: CallerAttempt, client: Client): Promise<void> {
   const { method, timeoutMs } = KIND_RULES[attempt.kind];
-  const answer = await client.request({
+  const response = await client.request({
     method,
     path: attempt.path,
     headers: buildHeaders(attempt, timeoutMs),
     body: attempt.body === "" ? null : attempt.body,
   });
-  attempt.status = answer.statusCode;
-  const seal = answer.headers["x-beechkeel-response-seal"];
+  attempt.status = response.statusCode;
+  const seal = response.headers["x-beechkeel-response-seal"];
   attempt.seal = seal === undefined ? undefined : String(seal);
-  for await (const part of answer.body) attempt.text += String(part);
+  for await (const part of response.body) attempt.text += String(part);
   attempt.isWhole = true;
 }
 
@@ -244,8 +244,8 @@
 
 /** Number of the last complete event that an attempt received; 0 if it received none. */
 function getLastEvent(attempt: CallerAttempt): number {
-  const whole = attempt.text.split("\n\n").length - 1;
-  return whole === 0 ? 0 : attempt.afterEvent + whole;
+  const completeEvents = attempt.text.split("\n\n").length - 1;
+  return completeEvents === 0 ? 0 : attempt.afterEvent + completeEvents;
 }
 
 function buildHeaders(
--- a/soak/soak_faults.ts
+++ b/soak/soak_faults.ts
@@ -79,14 +79,18 @@
 ): Promise<void> {
   const { program, id } = gateway;
   if (!program.isAlive) return;
-  const life = program.starts;
+  const gatewayStart = program.starts;
   const window = fleet.faults.begin("stop", [id], true);
-  fleet.plannedStops.push({ gateway: id, life, at: performance.now() });
+  fleet.gracefulStops.push({
+    gateway: id,
+    gatewayStart,
+    at: performance.now(),
+  });
   program.signal("SIGTERM");
   const exited = program.waitForExit().then(() => true);
   const timeout = delay(BOUNDS.stopWithinMs, false, { ref: false });
   const hasExited = await Promise.race([exited, timeout]);
-  if (!hasExited && program.starts === life) await program.kill();
+  if (!hasExited && program.starts === gatewayStart) await program.kill();
   program.start();
   fleet.faults.end(window);
 }
@@ -227,7 +231,7 @@
   const worker = random.pick(fleet.workers);
   if (!isRemovable(fleet, worker)) return;
   fleet.excludeFromFaults(worker);
-  const { sequence: _, ...incomplete } = worker.describe("ready");
+  const { sequence: _, ...incomplete } = worker.buildEntry("ready");
   const texts = ["\u0000", "{", JSON.stringify(incomplete), "null"];
   fleet.store.putText(`servers/${worker.id}`, random.pick(texts));
   fleet.leaveAnnouncements.push({ worker: worker.id, at: performance.now() });
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -13,8 +13,8 @@
 } from "./caller_attempt.ts";
 import { crashAndReplace } from "./crashing_requests.ts";
 import type {
+  GracefulStop,
   LeaveAnnouncement,
-  PlannedStop,
   PublishedVersion,
 } from "./evidence.ts";
 import { FaultLog } from "./fault_log.ts";
@@ -55,7 +55,7 @@
   readonly gateways: GatewayProcess[] = [];
   /** Workers that faults may target. */
   readonly workers: SoakWorker[] = [];
-  /** Attempts of callers with their answers. */
+  /** Attempts of callers with their responses. */
   readonly attempts: CallerAttempt[] = [];
   /** Requests that workers ran, over all their starts. */
   readonly runs: WorkerRun[] = [];
@@ -65,8 +65,8 @@
   readonly versions: PublishedVersion[] = [];
   /** Announcements in the store that workers leave. */
   readonly leaveAnnouncements: LeaveAnnouncement[] = [];
-  /** Planned stops of gateways. */
-  readonly plannedStops: PlannedStop[] = [];
+  /** Graceful stops of gateways. */
+  readonly gracefulStops: GracefulStop[] = [];
   /** Log of the faults so far. */
   readonly faults = FaultLog.create();
   private readonly folder = mkdtempSync(`${tmpdir()}/beechkeel-soak-`);
@@ -137,14 +137,14 @@
     worker.onCrashRequest = () =>
       void crashAndReplace(this, worker, this.random.fork());
     this.workers.push(worker);
-    this.store.put(`servers/${worker.id}`, worker.describe("ready"));
+    this.store.put(`servers/${worker.id}`, worker.buildEntry("ready"));
     return worker;
   }
 
   /** Publishes that a worker leaves.
    * @param worker The worker. */
   publishLeaving(worker: SoakWorker): void {
-    this.store.put(`servers/${worker.id}`, worker.describe("draining"));
+    this.store.put(`servers/${worker.id}`, worker.buildEntry("draining"));
     this.leaveAnnouncements.push({ worker: worker.id, at: performance.now() });
   }
 
@@ -222,7 +222,7 @@
   return fleetCount % MAX_FLEETS;
 }
 
-/** Looks up at a gateway which addresses to use. Returns none if it does not answer.
+/** Asks the lookup service of a gateway which addresses to use. Returns none if it does not respond.
  * @param gateway The gateway. */
 export async function locate(gateway: GatewayProcess): Promise<string[]> {
   try {
--- a/soak/soak_worker.ts
+++ b/soak/soak_worker.ts
@@ -6,7 +6,7 @@
 import { buildWorkerEntry } from "../fakes/worker_entry.ts";
 import type { Random } from "../src/random/random.ts";
 import { isCrashingPath } from "./crashing_requests.ts";
-import { countEvents, formatAnswer, formatEvent } from "./stream_text.ts";
+import { countEvents, formatEvent, formatResponse } from "./stream_text.ts";
 import type { WorkerLedger } from "./worker_ledger.ts";
 import type { WorkerRun } from "./worker_run.ts";
 
@@ -30,7 +30,7 @@
 const EVENT_PAUSE_RANGE_MS = [2, 18] as const;
 /** Factor by which work takes longer on a slow worker. */
 const SLOW_FACTOR = 12;
-/** Share of the non-streamed answers that are delimited by the end of the connection rather than by a length. */
+/** Share of the non-streamed responses that are delimited by the end of the connection rather than by a length. */
 const UNFRAMED_SHARE = 0.1;
 /** Share of its requests to which a faulty worker applies its fault. */
 const FAULT_SHARE = 0.5;
@@ -41,7 +41,7 @@
   fault: WorkerFault = "none";
   /** Backoff that it asks for while it declines all requests, in milliseconds; undefined if it accepts them. */
   backoffMs: number | undefined;
-  /** Whether its answers announce that it leaves. */
+  /** Whether its responses announce that it leaves. */
   announcesLeaving = false;
   /** Called when the worker starts to run a request that crashes it. */
   onCrashRequest: () => void = () => undefined;
@@ -93,7 +93,7 @@
 
   /** Builds its entry in the store.
    * @param state State in the entry. */
-  describe(state: "ready" | "draining") {
+  buildEntry(state: "ready" | "draining") {
     return buildWorkerEntry({
       service: this.service,
       address: `127.0.0.1:${this.proxy.port}`,
@@ -133,7 +133,7 @@
       run.endedAt = performance.now();
       run.wasCancelled = !response.writableFinished;
     });
-    await this.answer(request, response, run, fault);
+    await this.respond(request, response, run, fault);
   }
 
   private declineRequest(response: ServerResponse, requestId: string): void {
@@ -163,15 +163,15 @@
       startedAt: performance.now(),
       endedAt: undefined,
       status: undefined,
-      isWhole: false,
+      isComplete: false,
       wasCancelled: false,
-      saidLeaving: this.announcesLeaving,
+      announcedLeaving: this.announcesLeaving,
     };
     this.ledger.runs.push(run);
     return run;
   }
 
-  private async answer(
+  private async respond(
     request: IncomingMessage,
     response: ServerResponse,
     run: WorkerRun,
@@ -182,35 +182,35 @@
     if (response.destroyed) return;
     if (isCrashingPath(run.path)) return this.onCrashRequest();
     if (fault === "reset") return resetSocket(request.socket);
-    if (fault === "errors") return this.answerError(request, response, run);
+    if (fault === "errors") return this.sendError(request, response, run);
     const headers = this.worker.buildSealHeaders(request);
     if (fault === "crossed") {
       headers["X-Beechkeel-Attempt-Id"] = "of-another-request";
     }
     run.status = 200;
     const isStream = getHeader(request, "x-beechkeel-model") !== "";
-    if (isStream) await this.answerStream(response, run, headers, fault);
-    else this.answerWhole(response, run, headers, fault);
+    if (isStream) await this.sendStream(response, run, headers, fault);
+    else this.sendPlainResponse(response, run, headers, fault);
   }
 
-  private answerError(
+  private sendError(
     request: IncomingMessage,
     response: ServerResponse,
     run: WorkerRun,
   ): void {
     run.status = 500;
-    run.isWhole = true;
+    run.isComplete = true;
     response.writeHead(500, this.worker.buildSealHeaders(request)).end("no");
   }
 
-  private answerWhole(
+  private sendPlainResponse(
     response: ServerResponse,
     run: WorkerRun,
     headers: Record<string, string>,
     fault: WorkerFault,
   ): void {
-    const text = formatAnswer(run.requestId, this.id);
-    // Surplus bytes after an answer without a length would be part of that answer.
+    const text = formatResponse(run.requestId, this.id);
+    // Surplus bytes after a response without a length would be part of that response.
     const isUnframed = fault !== "surplus" &&
       this.random.fraction() < UNFRAMED_SHARE;
     if (isUnframed) response.shouldKeepAlive = false;
@@ -224,10 +224,10 @@
     const { socket } = response;
     response.end(text);
     if (fault === "surplus") socket?.write("HTTP/1.1 200 OK\r\n\r\n");
-    run.isWhole = fault === "none" || fault === "slow";
+    run.isComplete = fault === "none" || fault === "slow";
   }
 
-  private async answerStream(
+  private async sendStream(
     response: ServerResponse,
     run: WorkerRun,
     headers: Record<string, string>,
@@ -252,7 +252,7 @@
     }
     if (response.destroyed) return;
     response.end();
-    run.isWhole = fault === "none" || fault === "slow";
+    run.isComplete = fault === "none" || fault === "slow";
   }
 
   private async work(
@@ -276,7 +276,7 @@
   return (Array.isArray(value) ? value.join(",") : value) ?? "";
 }
 
-/** Answers that the request was not executed. */
+/** Sends a response stating that the request was not executed. */
 function decline(response: ServerResponse, status: number): void {
   response.writeHead(status, { "X-Beechkeel-Not-Executed": "1" }).end();
 }
--- a/soak/stream_text.ts
+++ b/soak/stream_text.ts
@@ -35,9 +35,9 @@
   return `id: ${event}\ndata: ${getEventData(requestId, event, path)}\n\n`;
 }
 
-/** Formats the complete answer to a request that is not streamed.
+/** Formats the complete response to a request that is not streamed.
  * @param requestId Id of the request.
  * @param worker Id of the worker that ran it. */
-export function formatAnswer(requestId: string, worker: string): string {
+export function formatResponse(requestId: string, worker: string): string {
   return JSON.stringify({ requestId, worker, padding: "x".repeat(400) });
 }
--- a/soak/timing_invariants.ts
+++ b/soak/timing_invariants.ts
@@ -1,4 +1,8 @@
-import { BOUNDS, CANCEL_TIMEOUT_MS, FINAL_ANSWER_GRACE_MS } from "./bounds.ts";
+import {
+  BOUNDS,
+  CANCEL_TIMEOUT_MS,
+  FINAL_RESPONSE_GRACE_MS,
+} from "./bounds.ts";
 import { KIND_RULES } from "./caller_attempt.ts";
 import type { Evidence } from "./evidence.ts";
 import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
@@ -13,11 +17,11 @@
 /** Checks of the invariants about timing, by the name that is printed with breaches. They are for manual runs on a
  * machine without other load. */
 export const TIMING_INVARIANTS: Readonly<Record<string, InvariantCheck>> = {
-  "a leaving worker gets no new work": checkLeaving,
-  "a key that was taken away is not honoured": checkRevokedKeys,
-  "a final answer comes by the route's time-out": checkFinalAnswers,
-  "work ends when its caller has left": checkCancelled,
-  "retries keep to the budget": checkRetries,
+  "a leaving worker gets no new requests": checkLeaving,
+  "a revoked key is not accepted": checkRevokedKeys,
+  "the final response arrives within the route's timeout": checkFinalResponses,
+  "work ends after its caller has disconnected": checkCancelled,
+  "retries stay within the budget": checkRetries,
 };
 
 function checkLeaving(evidence: Evidence): string[] {
@@ -27,8 +31,8 @@
     const from = at - STORE_RECOVERY_MS;
     return runs.filter((run) =>
       run.worker === worker && run.startedAt > latest &&
-      !faults.wasHit("store", from, run.startedAt) &&
-      !wasAnyGatewayHit(evidence, from, run.startedAt)
+      !faults.wasAffected("store", from, run.startedAt) &&
+      !wasAnyGatewayAffected(evidence, from, run.startedAt)
     ).map((run) =>
       `${run.requestId} reached ${worker} ${
         Math.round(run.startedAt - at)
@@ -38,13 +42,13 @@
 }
 
 /** Whether any gateway was killed or frozen within an interval; it may then send requests that it accepted before. */
-function wasAnyGatewayHit(
+function wasAnyGatewayAffected(
   { faults, attempts }: Evidence,
   from: number,
   to: number,
 ): boolean {
   const gateways = new Set(attempts.map((attempt) => attempt.gateway));
-  return [...gateways].some((gateway) => faults.wasHit(gateway, from, to));
+  return [...gateways].some((gateway) => faults.wasAffected(gateway, from, to));
 }
 
 function checkRevokedKeys(evidence: Evidence): string[] {
@@ -70,14 +74,14 @@
   });
 }
 
-function checkFinalAnswers(evidence: Evidence): string[] {
+function checkFinalResponses(evidence: Evidence): string[] {
   return evidence.attempts.flatMap((attempt) => {
     const { sentAt, endedAt, gaveUpAt, gateway, requestId } = attempt;
     const until = endedAt ?? Infinity;
     const latest = sentAt + KIND_RULES[attempt.kind].timeoutMs +
-      FINAL_ANSWER_GRACE_MS + TOLERANCE_MS + evidence.lagMs;
+      FINAL_RESPONSE_GRACE_MS + TOLERANCE_MS + evidence.lagMs;
     const isLate = (gaveUpAt ?? until) > latest;
-    return isLate && !evidence.faults.wasHit(gateway, sentAt, until)
+    return isLate && !evidence.faults.wasAffected(gateway, sentAt, until)
       ? [
         `${requestId} at ${gateway}: no end after ${
           Math.round(until - sentAt)
@@ -91,19 +95,23 @@
   const runsById = groupRunsById(evidence.runs);
   const givenUp = evidence.attempts.filter((attempt) =>
     attempt.gaveUpAt !== undefined && KIND_RULES[attempt.kind].mayRepeat &&
-    !evidence.faults.wasHit(attempt.gateway, attempt.sentAt, attempt.gaveUpAt)
+    !evidence.faults.wasAffected(
+      attempt.gateway,
+      attempt.sentAt,
+      attempt.gaveUpAt,
+    )
   );
   const late = givenUp.filter((attempt) => {
     const latest = attempt.gaveUpAt! + CANCEL_TIMEOUT_MS + TOLERANCE_MS +
       evidence.lagMs;
     return runsById.get(attempt.requestId)?.some((run) =>
       (run.endedAt ?? Infinity) > latest &&
-      !evidence.faults.wasHit(run.worker, run.startedAt, latest)
+      !evidence.faults.wasAffected(run.worker, run.startedAt, latest)
     );
   });
   return late.length > givenUp.length * MAX_LATE_SHARE
     ? [
-      `${late.length} of ${givenUp.length} requests went on after their callers left`,
+      `${late.length} of ${givenUp.length} requests kept running after their callers had disconnected`,
     ]
     : [];
 }
--- a/soak/worker_run.ts
+++ b/soak/worker_run.ts
@@ -14,12 +14,12 @@
   startedAt: number;
   /** When the connection closed on the worker's side; undefined while the request runs. */
   endedAt: number | undefined;
-  /** Status of the answer; undefined if none was sent. */
+  /** Status of the response; undefined if none was sent. */
   status: number | undefined;
-  /** Whether the worker wrote its complete answer and nothing else. */
-  isWhole: boolean;
-  /** Whether the answer announced that the worker leaves. */
-  saidLeaving: boolean;
+  /** Whether the worker wrote its complete response and nothing else. */
+  isComplete: boolean;
+  /** Whether the response announced that the worker leaves. */
+  announcedLeaving: boolean;
   /** Whether the other side closed the connection before the worker had finished. */
   wasCancelled: boolean;
 }
--- a/src/cli/handle_stop_signals.ts
+++ b/src/cli/handle_stop_signals.ts
@@ -3,13 +3,13 @@
 
 /** A program that is stopped by signals. */
 export interface StoppableProgram {
-  /** Shuts down gracefully; resolves when the shutdown is complete. */
+  /** Stops gracefully; resolves when the stop is complete. */
   drain(): Promise<void>;
   /** Stops immediately. */
   close(): Promise<void>;
 }
 
-/** Handles stop signals: SIGTERM shuts the program down gracefully, SIGINT immediately. A repeated SIGTERM has no
+/** Handles stop signals: SIGTERM stops the program gracefully, SIGINT immediately. A repeated SIGTERM has no
  * effect. A signal that arrives before the program has started takes effect once it has.
  * @param starting The program, once it has started.
  * @param onEnd Called before the process exits. */
--- a/src/polling/poll_loop.ts
+++ b/src/polling/poll_loop.ts
@@ -12,10 +12,10 @@
   isActive: () => boolean;
   /** Mean delay after an iteration that failed or was idle, in milliseconds; the delay is jittered uniformly between
    * 0.5 and 1.5 times the mean. */
-  getDelayMs: (turn: "failed" | "idle") => number;
+  getDelayMs: (outcome: "failed" | "idle") => number;
   /** Called after each iteration, with the error if the poll failed; a failure caused by closing the loop is not
    * passed on. */
-  onOutcome: (turn: PollOutcome, error?: unknown) => void;
+  onOutcome: (outcome: PollOutcome, error?: unknown) => void;
 }
 
 /** Repeats a long poll until the loop is closed. */
@@ -40,9 +40,11 @@
 
   private async run(): Promise<void> {
     while (!this.abort.signal.aborted) {
-      const turn = this.options.isActive() ? await this.tryPoll() : "idle";
-      if (turn === "idle") this.options.onOutcome(turn);
-      if (turn !== "worked") await this.pause(this.options.getDelayMs(turn));
+      const outcome = this.options.isActive() ? await this.tryPoll() : "idle";
+      if (outcome === "idle") this.options.onOutcome(outcome);
+      if (outcome !== "worked") {
+        await this.pause(this.options.getDelayMs(outcome));
+      }
     }
   }
 
--- a/src/settings/settings_schema.ts
+++ b/src/settings/settings_schema.ts
@@ -9,7 +9,7 @@
   maxHeaderBytes: z.number().int().min(1024).default(16 * 1024),
   /** Time limit for receiving the headers of a request. */
   headerTimeoutMs: milliseconds.default(5_000),
-  /** Time limit for receiving a whole request. */
+  /** Time limit for receiving a complete request. */
   requestTimeoutMs: milliseconds.default(15_000),
   maxOpenRequests: z.number().int().min(1).default(5_000),
   /** Bytes that may be in flight to one caller before the upstream's response is paused (flow control). */
@@ -99,7 +99,7 @@
     addresses: z.number().int().min(1).default(3),
   }).prefault({}),
   drain: z.strictObject({
-    /** Time limit of a graceful shutdown; it then ends even with requests in flight. */
+    /** Time limit of a graceful stop; the router then exits even with requests in flight. */
     limitMs: milliseconds.default(120_000),
   }).prefault({}),
   audit: z.strictObject({
--- a/tests/soak/invariants_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -2,18 +2,18 @@
 import type { CallerAttempt } from "../../soak/caller_attempt.ts";
 import type { Evidence } from "../../soak/evidence.ts";
 import { FaultLog } from "../../soak/fault_log.ts";
-import { ANSWER_INVARIANTS } from "../../soak/answer_invariants.ts";
+import { RESPONSE_INVARIANTS } from "../../soak/answer_invariants.ts";
 import { TIMING_INVARIANTS } from "../../soak/timing_invariants.ts";
 import { CUSTOMER, PERMANENT_KEY } from "../../soak/soak_fleet.ts";
 import {
   countEvents,
-  formatAnswer,
   formatEvent,
+  formatResponse,
 } from "../../soak/stream_text.ts";
 import type { WorkerRun } from "../../soak/worker_run.ts";
 
 const ID = "c-1";
-const INVARIANTS = { ...ANSWER_INVARIANTS, ...TIMING_INVARIANTS };
+const INVARIANTS = { ...RESPONSE_INVARIANTS, ...TIMING_INVARIANTS };
 
 function buildAttempt(changes: Partial<CallerAttempt> = {}): CallerAttempt {
   return {
@@ -26,12 +26,12 @@
     version: undefined,
     afterEvent: 0,
     gateway: "g-0",
-    life: 1,
+    gatewayStart: 1,
     sentAt: 1_000,
     endedAt: 1_030,
     status: 200,
     seal: "proof",
-    text: formatAnswer(ID, "w-1"),
+    text: formatResponse(ID, "w-1"),
     isWhole: true,
     gaveUpAt: undefined,
     ...changes,
@@ -52,9 +52,9 @@
     startedAt: 1_005,
     endedAt: 1_025,
     status: 200,
-    isWhole: true,
+    isComplete: true,
     wasCancelled: false,
-    saidLeaving: false,
+    announcedLeaving: false,
     ...changes,
   };
 }
@@ -66,7 +66,7 @@
     declines: [],
     versions: [],
     leaveAnnouncements: [],
-    plannedStops: [],
+    gracefulStops: [],
     faults: FaultLog.create(),
     lagMs: 0,
     ...changes,
@@ -101,31 +101,31 @@
 
 /** Evidence that breaches each invariant, by its name. */
 const BREACHES: Record<string, Evidence[]> = {
-  "an answer is that of its own request, and whole": [
+  "a response belongs to its request, and is complete if it ends normally": [
     buildEvidence({ attempts: [buildAttempt({ seal: undefined })] }),
     buildEvidence({
-      attempts: [buildAttempt({ text: formatAnswer("c-2", "w-1") })],
+      attempts: [buildAttempt({ text: formatResponse("c-2", "w-1") })],
     }),
     buildEvidence({
       attempts: [
-        buildAttempt({ text: formatAnswer(ID, "w-1").slice(0, 50) }),
+        buildAttempt({ text: formatResponse(ID, "w-1").slice(0, 50) }),
       ],
     }),
     buildEvidence({ attempts: [buildStream(ALL_EVENTS.slice(0, -1))] }),
     buildEvidence({ attempts: [buildStream([1, 1, ...ALL_EVENTS.slice(1)])] }),
   ],
-  "a failure with a worker's seal is the worker's": [
+  "an error response with a worker's seal was sent by a worker": [
     buildEvidence({ attempts: [buildAttempt({ status: 502 })] }),
   ],
-  "what may run once runs once": [
+  "a non-repeatable request runs at most once": [
     buildEvidence({ runs: [buildRun(), buildRun({ worker: "w-2" })] }),
   ],
-  "what is said not to have run has not": [
+  "a request reported as not run has not run": [
     buildEvidence({
       attempts: [buildAttempt({ status: 503, seal: undefined })],
     }),
   ],
-  "a worker runs what a caller sent": [
+  "a request reaches its worker unchanged": [
     buildEvidence({ runs: [buildRun({ requestId: "c-9" })] }),
     buildEvidence({ runs: [buildRun({ body: "other" })] }),
     buildEvidence({ runs: [buildRun({ customer: "forged" })] }),
@@ -133,7 +133,7 @@
   "no request reaches more workers than its route allows": [
     buildEvidence({ runs: [buildRun(), buildRun({ worker: "w-2" })] }),
   ],
-  "a configuration never goes back": [
+  "a gateway never reverts to an older configuration": [
     buildEvidence({
       attempts: [
         buildAttempt({ kind: "version", version: 9 }),
@@ -141,10 +141,10 @@
       ],
     }),
   ],
-  "a sound worker's answer reaches its caller": [
+  "the response of an undisturbed worker reaches its caller": [
     buildEvidence({ attempts: [buildAttempt({ isWhole: false })] }),
   ],
-  "nothing proper is denied": [
+  "no permitted request is denied": [
     buildEvidence({ attempts: [buildAttempt({ status: 404 })] }),
   ],
   "a request that crashed three workers reaches few more": [
@@ -154,7 +154,7 @@
       ),
     }),
   ],
-  "a worker that asked for a backoff gets few requests in it": [
+  "a worker that asked for a backoff gets few requests during it": [
     buildEvidence({
       declines: [0, 600, 700, 800].map((at) => ({
         requestId: ID,
@@ -165,25 +165,26 @@
       runs: [],
     }),
   ],
-  "a worker that says it leaves gets no new work from who passed that on": [
-    buildEvidence({
-      attempts: [
-        buildAttempt(),
-        buildAttempt({ requestId: "c-2", sentAt: 9_000, endedAt: 9_030 }),
-      ],
-      runs: [
-        buildRun({ saidLeaving: true }),
-        buildRun({ requestId: "c-2", startedAt: 9_005 }),
-      ],
-    }),
-  ],
-  "a leaving worker gets no new work": [
+  "a gateway sends no new requests to a worker after forwarding that it leaves":
+    [
+      buildEvidence({
+        attempts: [
+          buildAttempt(),
+          buildAttempt({ requestId: "c-2", sentAt: 9_000, endedAt: 9_030 }),
+        ],
+        runs: [
+          buildRun({ announcedLeaving: true }),
+          buildRun({ requestId: "c-2", startedAt: 9_005 }),
+        ],
+      }),
+    ],
+  "a leaving worker gets no new requests": [
     buildEvidence({
       leaveAnnouncements: [{ worker: "w-1", at: 1_000 }],
       runs: [buildRun({ startedAt: 3_500 })],
     }),
   ],
-  "a key that was taken away is not honoured": [
+  "a revoked key is not accepted": [
     buildEvidence({
       versions: [{ version: 1, key: "k", at: 0 }, {
         version: 2,
@@ -193,17 +194,17 @@
       attempts: [buildAttempt({ key: "k", sentAt: 6_000 })],
     }),
   ],
-  "a final answer comes by the route's time-out": [
+  "the final response arrives within the route's timeout": [
     buildEvidence({ attempts: [buildAttempt({ endedAt: 9_000 })] }),
     buildEvidence({ attempts: [buildAttempt({ endedAt: undefined })] }),
   ],
-  "work ends when its caller has left": [
+  "work ends after its caller has disconnected": [
     buildEvidence({
       attempts: [buildAttempt({ ...repeatable, gaveUpAt: 1_010 })],
       runs: [buildRun({ endedAt: 9_000 })],
     }),
   ],
-  "retries keep to the budget": [
+  "retries stay within the budget": [
     buildEvidence({
       runs: Array.from({ length: 80 }, () => buildRun()),
     }),
@@ -218,8 +219,9 @@
   });
 }
 
-test("losing an answer is a breach if it ended 50 ms before its worker crashed, but not if it ended 1 ms before", (t) => {
-  const check = INVARIANTS["a sound worker's answer reaches its caller"]!;
+test("losing a response is a breach if it ended 50 ms before its worker crashed, but not if it ended 1 ms before", (t) => {
+  const check =
+    INVARIANTS["the response of an undisturbed worker reaches its caller"]!;
   for (const [afterMs, breaches] of [[1, 0], [50, 1]] as const) {
     const faults = FaultLog.create();
     const from = buildRun().endedAt! + afterMs;
@@ -239,8 +241,9 @@
   t.deepEqual(check(buildEvidence({ runs })), []);
 });
 
-test("an answer cut off by a fault of its gateway or worker is not a breach", (t) => {
-  const check = INVARIANTS["a sound worker's answer reaches its caller"]!;
+test("a response cut off by a fault of its gateway or worker is not a breach", (t) => {
+  const check =
+    INVARIANTS["the response of an undisturbed worker reaches its caller"]!;
   for (const target of ["g-0", "w-1"]) {
     const faults = FaultLog.create();
     faults.windows.push({
--- a/tests/system/backoff_test.ts
+++ b/tests/system/backoff_test.ts
@@ -1,6 +1,6 @@
-/** Guards against routers that ignore the backoff that an upstream asks for when it refuses a request, a fault that
+/** Guards against routers that ignore the backoff that an upstream asks for when it declines a request, a fault that
  * gateways had too: each owner kept sending requests, polled the upstream's report every half second, and followed each
- * refusal with a request to cancel work that had not begun. */
+ * declined request with one to cancel work that had not begun. */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import { waitUntil, withFleet } from "./with_fleet.ts";
@@ -9,7 +9,7 @@
 /** Backoff that upstreams ask for, in seconds; longer than a test runs. */
 const BACKOFF_S = 60;
 const REQUEST_COUNT = 60;
-/** Maximum number of requests that a router may send to an upstream in backoff: the one that is refused, and a report
+/** Maximum number of requests that a router may send to an upstream in backoff: the one that is declined, and a report
  * request in flight. The limit is per router because on a busy machine a router may briefly take another one for the
  * owner, and each router keeps its own backoff. */
 const MAX_REQUESTS_PER_ROUTER = 2;
@@ -18,24 +18,24 @@
 
 test.serial("services that ask for a backoff get no requests until it ends, and the other services serve the callers", async (t) => {
   await withFleet({ services: 4 }, async (fleet, caller) => {
-    const refusingServices = fleet.services.slice(0, 2);
+    const decliningServices = fleet.services.slice(0, 2);
     const send = (index: number) => {
       const router = fleet.routers[index % fleet.routers.length]!.address;
       return caller.book({ customer: CUSTOMER, router }, `shift ${index}`);
     };
     await waitUntil("bookings run", async () => (await send(0)).isComplete);
-    for (const service of refusingServices) service.backoffSeconds = BACKOFF_S;
+    for (const service of decliningServices) service.backoffSeconds = BACKOFF_S;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       const response = await send(index);
       t.true(response.isComplete, response.kind);
     }
-    const refusalCounts = refusingServices.map((service) =>
+    const declineCounts = decliningServices.map((service) =>
       service.ledger.declinedAt.length
     );
     const maxRequests = MAX_REQUESTS_PER_ROUTER * fleet.routers.length;
     t.true(
-      refusalCounts.every((count) => count <= maxRequests),
-      refusalCounts.join(),
+      declineCounts.every((count) => count <= maxRequests),
+      declineCounts.join(),
     );
   });
 });
@@ -50,18 +50,18 @@
     const [longer, shorter] = fleet.services;
     longer!.backoffSeconds = 2 * BACKOFF_S;
     shorter!.backoffSeconds = BACKOFF_S;
-    const countRefusals = () =>
+    const countDeclines = () =>
       longer!.ledger.declinedAt.length + shorter!.ledger.declinedAt.length;
-    await waitUntil("both services have refused a request", async () => {
+    await waitUntil("both services have declined a request", async () => {
       await send();
-      return countRefusals() >= 2;
+      return countDeclines() >= 2;
     });
-    const before = countRefusals();
+    const before = countDeclines();
     const refused = await send();
     const seconds = Number(refused.retryAfter);
     t.is(refused.ran, "no");
     t.true(seconds > BACKOFF_S / 2 && seconds <= BACKOFF_S, `${seconds} s`);
-    t.is(countRefusals(), before);
+    t.is(countDeclines(), before);
   });
 });
 
@@ -71,24 +71,24 @@
     settings: { routing: { reportIntervalMs: 50 } },
   };
   await withFleet(options, async (fleet, caller) => {
-    const [refusingEngine, other] = fleet.engines;
+    const [decliningEngine, other] = fleet.engines;
     const send = (chat: string) => {
       const router = fleet.routers[0]!.address;
       return caller.chat({ customer: "kilima/rosters", router }, chat, ["a"]);
     };
     await waitUntil("chats run", async () => (await send("c")).isComplete);
-    refusingEngine!.backoffSeconds = BACKOFF_S;
+    decliningEngine!.backoffSeconds = BACKOFF_S;
     let chats = 0;
-    await waitUntil("the engine has refused a request", async () => {
+    await waitUntil("the engine has declined a request", async () => {
       await send(`c-${chats++}`);
-      return refusingEngine!.ledger.declinedAt.length > 0;
+      return decliningEngine!.ledger.declinedAt.length > 0;
     });
     await delay(100);
-    const before = refusingEngine!.requests;
+    const before = decliningEngine!.requests;
     for (let index = 0; index < REQUEST_COUNT; index++) {
       t.true((await send(`d-${index}`)).isComplete);
     }
-    t.is(refusingEngine!.requests, before);
+    t.is(decliningEngine!.requests, before);
     t.true(other!.ledger.runs.length >= REQUEST_COUNT);
   });
 });
--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -41,7 +41,7 @@
   return ((await response.body.json()) as { records: AuditRecord[] }).records;
 }
 
-test.serial("an accepted document is in force on every router, even on those that cannot reach the platform", async (t) => {
+test.serial("an accepted document is current on every router, even on those that cannot reach the platform", async (t) => {
   await withFleet({ useProxies: true }, async (fleet) => {
     for (const router of fleet.routers.slice(1)) {
       fleet.platformProxies.get(router.id)!.setMode("freeze");
@@ -78,17 +78,17 @@
     await restarted.waitFor((status) => status.phase === "serving", "serving");
     for (const router of fleet.routers) {
       t.is((await router.getStatus())!.configuration.revision, revision);
-      const inForce = (await readAudit(router, KEY)).filter((record) =>
+      const accepted = (await readAudit(router, KEY)).filter((record) =>
         record.action === "document_accepted"
       );
-      const revisions = inForce.map((record) => record.revision);
+      const revisions = accepted.map((record) => record.revision);
       t.deepEqual(revisions, [...revisions].sort((a, b) => a - b));
       t.is(revisions.at(-1), revision);
     }
   });
 });
 
-test.serial("when two operators publish concurrently, the highest revision is in force on every router", async (t) => {
+test.serial("when two operators publish concurrently, the highest revision is current on every router", async (t) => {
   await withFleet({}, async (fleet) => {
     let revision = 0;
     for (let round = 0; round < 40; round++) {
--- a/tests/system/idempotency_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -22,12 +22,12 @@
     { routers: 5, service: { callMs: 50 } },
     async (fleet, caller) => {
       const keys = Array.from({ length: 20 }, (_, index) => `key-${index}`);
-      const sendings = keys.flatMap((key) =>
+      const pendingResponses = keys.flatMap((key) =>
         fleet.routers.map((router) =>
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
         )
       );
-      const responses = await Promise.all(sendings);
+      const responses = await Promise.all(pendingResponses);
       t.true(
         [...countRuns(fleet.services).values()].every((count) => count === 1),
       );
--- a/tests/system/invalid_request_test.ts
+++ b/tests/system/invalid_request_test.ts
@@ -216,7 +216,7 @@
   });
 });
 
-test.serial("a value of more than a million bytes is refused entirely, and the previous one stays in force", async (t) => {
+test.serial("a value of more than a million bytes is refused entirely, and the previous one stays current", async (t) => {
   await withFleet({}, async (fleet, caller) => {
     const parameters = { models: ["m".repeat(1_000_001)] };
     const value = {
--- a/tests/system/unexecuted_request_test.ts
+++ b/tests/system/unexecuted_request_test.ts
@@ -105,7 +105,7 @@
         fleet.routers.map((router) => router.getStatus()),
       );
       const owns = (status: RouterStatus | undefined) =>
-        status?.upstreams.some((one) => one.owned) ?? false;
+        status?.upstreams.some((upstream) => upstream.owned) ?? false;
       owners.splice(
         0,
         owners.length,
@@ -117,21 +117,21 @@
     const entry = fleet.routers.find((router) => router !== owner)!;
     const runs = fleet.services[0]!.ledger.runs;
     const bookings: Promise<BookingRecord>[] = [];
-    let unanswered = 0;
+    let pendingCount = 0;
     const book = async (id: string): Promise<BookingRecord> => {
-      unanswered += 1;
+      pendingCount += 1;
       const response = await caller.book({
         customer: CUSTOMER,
         router: entry.address,
         timeoutMs: 900,
       }, id);
-      unanswered -= 1;
+      pendingCount -= 1;
       return { id, hasIdempotencyKey: false, responses: [response] };
     };
     // An owner that missed a probe of the other router uses only one of three slots for longer than the callers'
     // timeout, so more bookings are sent until three run.
     await waitUntil("three bookings to run", () => {
-      if (runs.length >= 3 || unanswered > 0) return runs.length >= 3;
+      if (runs.length >= 3 || pendingCount > 0) return runs.length >= 3;
       for (let count = 0; count < 12; count++) {
         bookings.push(book(`waiting-${bookings.length}`));
       }
@@ -141,7 +141,9 @@
     const records = await Promise.all(bookings);
     await owner.waitFor(
       (status) =>
-        status.upstreams.every((one) => one.running + one.waiting === 0),
+        status.upstreams.every((upstream) =>
+          upstream.running + upstream.waiting === 0
+        ),
       "idle",
     );
     t.true(records.some((booking) => booking.responses[0]!.ran === "no"));
--- a/tests/tools/prompt_cache_misses_test.ts
+++ b/tests/tools/prompt_cache_misses_test.ts
@@ -11,7 +11,7 @@
 }
 
 function countMisses(...texts: readonly string[]) {
-  const losses = PromptCacheMisses.create();
+  const misses = PromptCacheMisses.create();
   const published = ENGINES.map((engine, index) =>
     formatLine(
       0,
@@ -20,9 +20,9 @@
     )
   );
   for (const text of [...published, ...texts]) {
-    losses.processLine(parseLogLine(text)!);
+    misses.processLine(parseLogLine(text)!);
   }
-  return losses.getMisses();
+  return misses.getMisses();
 }
 
 function formatRequestSent(
--- a/tools/bench_load_bound.ts
+++ b/tools/bench_load_bound.ts
@@ -147,7 +147,7 @@
     publishRoutes(fleet);
     await delay(SETTLE_MS);
     const statuses = await sendTraffic(fleet, options);
-    const { worstWindow: worst, maxExcess: mostAbove, requests } = ledger;
+    const { worstWindow, maxExcess, requests } = ledger;
     const prefilledTokens = engines.reduce(
       (sum, engine) => sum + engine.prefilledTokens,
       0,
@@ -155,9 +155,9 @@
     console.table([{
       ...options,
       requests,
-      "worst 5 s": `${worst.above} of ${worst.requests}`,
-      part: Number(getShare(worst).toFixed(4)),
-      "most above": Number(mostAbove.toFixed(1)),
+      "worst 5 s": `${worstWindow.above} of ${worstWindow.requests}`,
+      part: Number(getShare(worstWindow).toFixed(4)),
+      "most above": Number(maxExcess.toFixed(1)),
       "tokens read": prefilledTokens,
       statuses: JSON.stringify(statuses),
     }]);
--- a/tools/free_port.ts
+++ b/tools/free_port.ts
@@ -1,7 +1,7 @@
 import { createSocket } from "node:dgram";
 import { createServer, type Server } from "node:net";
 
-/** First lock port; lock ports and blocks lie below the range from which the system assigns ports to clients. */
+/** First lock port; lock ports and blocks lie below the range of ephemeral ports. */
 const FIRST_LOCK_PORT = 9_000;
 const FIRST_BLOCK_PORT = 10_000;
 const BLOCK_SIZE = 200;
--- a/tools/prompt_cache_misses.ts
+++ b/tools/prompt_cache_misses.ts
@@ -1,6 +1,7 @@
 import type { LogLine } from "./log_line.ts";
 
-/** Time since the last use of a prompt part within which a miss counts, in seconds, as in the pricing of the brief. */
+/** Time since the last use of a prompt part within which a miss counts, in seconds; the requirements
+ * price misses within the same window. */
 const REUSE_WINDOW_SECONDS = 10;
 /** Time for which an engine is assumed to keep a prompt part, in seconds; gateways assume the same. */
 const CACHE_RETENTION_SECONDS = 30;
