--- a/src/polling/poll_loop.ts
+++ b/src/polling/poll_loop.ts
@@ -40,10 +40,10 @@
 
   private async run(): Promise<void> {
     while (!this.abort.signal.aborted) {
-      const outcome = this.options.isActive() ? await this.tryPoll() : "idle";
-      if (outcome === "idle") this.options.onOutcome(outcome);
-      if (outcome !== "worked") {
-        await this.pause(this.options.getDelayMs(outcome));
+      const result = this.options.isActive() ? await this.tryPoll() : "idle";
+      if (result === "idle") this.options.onOutcome(result);
+      if (result !== "worked") {
+        await this.pause(this.options.getDelayMs(result));
       }
     }
   }
--- a/tests/system/configuration_test.ts
+++ b/tests/system/configuration_test.ts
@@ -41,7 +41,7 @@
   return ((await response.body.json()) as { records: AuditRecord[] }).records;
 }
 
-test.serial("an accepted document is current on every router, even on those that cannot reach the platform", async (t) => {
+test.serial("an accepted document becomes current on every router, even on those that cannot reach the platform", async (t) => {
   await withFleet({ useProxies: true }, async (fleet) => {
     for (const router of fleet.routers.slice(1)) {
       fleet.platformProxies.get(router.id)!.setMode("freeze");
@@ -88,7 +88,7 @@
   });
 });
 
-test.serial("when two operators publish concurrently, the highest revision is current on every router", async (t) => {
+test.serial("when two operators publish concurrently, the highest revision becomes current on every router", async (t) => {
   await withFleet({}, async (fleet) => {
     let revision = 0;
     for (let round = 0; round < 40; round++) {
--- a/tests/system/idempotency_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -53,7 +53,7 @@
     async (fleet, caller) => {
       const [first, ...others] = fleet.routers;
       const keys = Array.from({ length: 8 }, (_, index) => `key-${index}`);
-      const sendings = keys.map((key) =>
+      const pendingResponses = keys.map((key) =>
         caller.book({ customer: CUSTOMER, router: first!.address }, key, key)
       );
       await waitUntil(
@@ -61,7 +61,7 @@
         () => countRuns(fleet.services).size === keys.length,
       );
       await first!.kill();
-      await Promise.all(sendings);
+      await Promise.all(pendingResponses);
       first!.start();
       await fleet.waitUntilServing();
       for (const router of [first!, ...others]) {
