--- a/tests/system/idempotency_test.ts
+++ b/tests/system/idempotency_test.ts
@@ -22,12 +22,12 @@
     { routers: 5, service: { callMs: 50 } },
     async (fleet, caller) => {
       const keys = Array.from({ length: 20 }, (_, index) => `key-${index}`);
-      const sendings = keys.flatMap((key) =>
+      const pendingResponses = keys.flatMap((key) =>
         fleet.routers.map((router) =>
           caller.book({ customer: CUSTOMER, router: router.address }, key, key)
         )
       );
-      const responses = await Promise.all(sendings);
+      const responses = await Promise.all(pendingResponses);
       t.true(
         [...countRuns(fleet.services).values()].every((count) => count === 1),
       );
@@ -53,7 +53,7 @@
     async (fleet, caller) => {
       const [first, ...others] = fleet.routers;
       const keys = Array.from({ length: 8 }, (_, index) => `key-${index}`);
-      const sendings = keys.map((key) =>
+      const pendingResponses = keys.map((key) =>
         caller.book({ customer: CUSTOMER, router: first!.address }, key, key)
       );
       await waitUntil(
@@ -61,7 +61,7 @@
         () => countRuns(fleet.services).size === keys.length,
       );
       await first!.kill();
-      await Promise.all(sendings);
+      await Promise.all(pendingResponses);
       first!.start();
       await fleet.waitUntilServing();
       for (const router of [first!, ...others]) {
