--- a/src/polling/poll_loop.ts
+++ b/src/polling/poll_loop.ts
@@ -42,9 +42,7 @@
     while (!this.abort.signal.aborted) {
       const result = this.options.isActive() ? await this.tryPoll() : "idle";
       if (result === "idle") this.options.onOutcome(result);
-      if (result !== "worked") {
-        await this.pause(this.options.getDelayMs(result));
-      }
+      if (result !== "worked") await this.wait(this.options.getDelayMs(result));
     }
   }
 
@@ -59,7 +57,7 @@
     }
   }
 
-  private async pause(meanMs: number): Promise<void> {
+  private async wait(meanMs: number): Promise<void> {
     const delayMs = meanMs * (0.5 + this.random.fraction());
     // Closing the loop aborts the delay, which then rejects; the loop ends at its next check.
     await delay(delayMs, undefined, { signal: this.abort.signal }).catch(
