--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { setTimeout as delay } from "node:timers/promises";
-import { countTokens, getChunk } from "./answer_text.ts";
+import { countTokens, getChunk } from "./response_text.ts";
 import {
   DEFAULT_ENGINE_OPTIONS,
   type FakeEngineOptions,
--- a/fakes/fake_worker.ts
+++ b/fakes/fake_worker.ts
@@ -21,7 +21,7 @@
   /** Requests received, in order of arrival, without those addressed to another instance. */
   readonly arrivals: WorkerArrival[] = [];
   /** Handler of the requests. */
-  behaviour: WorkerBehaviour = answerSuccessfully;
+  behaviour: WorkerBehaviour = respondSuccessfully;
   /** Start time that the worker reports, in Unix milliseconds. */
   startedAt = Date.now();
   /** Whether `crash` was called. */
@@ -89,7 +89,7 @@
 }
 
 /** Responds with the worker's id and the headers that seal the response. */
-export const answerSuccessfully: WorkerBehaviour = (
+export const respondSuccessfully: WorkerBehaviour = (
   request,
   response,
   worker,
--- a/soak/run_seed.ts
+++ b/soak/run_seed.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { Random } from "../src/random/random.ts";
 import type { Evidence } from "./evidence.ts";
-import { RESPONSE_INVARIANTS } from "./answer_invariants.ts";
+import { RESPONSE_INVARIANTS } from "./response_invariants.ts";
 import { TIMING_INVARIANTS } from "./timing_invariants.ts";
 import { describeResult, type SeedResult } from "./seed_result.ts";
 import { SoakCaller } from "./soak_caller.ts";
--- a/soak/timing_invariants.ts
+++ b/soak/timing_invariants.ts
@@ -5,7 +5,7 @@
 } from "./bounds.ts";
 import { KIND_RULES } from "./caller_attempt.ts";
 import type { Evidence } from "./evidence.ts";
-import { groupRunsById, type InvariantCheck } from "./answer_invariants.ts";
+import { groupRunsById, type InvariantCheck } from "./response_invariants.ts";
 
 /** Tolerance added to the bounds on single requests for network latency and for timers, in milliseconds. */
 const TOLERANCE_MS = 250;
--- a/src/gateway/peer_network.ts
+++ b/src/gateway/peer_network.ts
@@ -142,9 +142,9 @@
       hall: getSettings().hall,
       getSeeds: () => getSettings().seedAddresses,
       describeSelf: () => this.describeSelf(),
-      takeFacts: () => prefixes.takeUpdates(),
-      hasFacts: () => prefixes.hasPendingUpdates,
-      onFacts: (updates) => prefixes.applyUpdates(updates, readClock()),
+      takePrefixUpdates: () => prefixes.takeUpdates(),
+      hasPrefixUpdates: () => prefixes.hasPendingUpdates,
+      onPrefixUpdates: (updates) => prefixes.applyUpdates(updates, readClock()),
       onEntry: (entry, lastSeenAt, requestedAt) =>
         this.handleEntry(entry, lastSeenAt, requestedAt),
       readHosts: (host, done) => void this.hostExchange.fetch(host).then(done),
--- a/src/gateway/prefix_exchange.ts
+++ b/src/gateway/prefix_exchange.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from "node:http";
 import type { Logger } from "../logging/logger.ts";
 import { MsgpackClient, sendMsgpack } from "../peers/msgpack_client.ts";
-import { prefixFactsSchema } from "../peers/message_schemas.ts";
+import { prefixUpdatesSchema } from "../peers/message_schemas.ts";
 import type { PrefixIndex } from "../upstreams/prefix_index.ts";
 
 /** Path under which a host serves to other hosts which engines have which prompt parts cached. */
@@ -47,7 +47,7 @@
     try {
       const response = await this.client.get(address, PREFIXES_PATH);
       if (response === undefined) return false;
-      const entries = prefixFactsSchema.parse(response);
+      const entries = prefixUpdatesSchema.parse(response);
       this.prefixes.applyUpdates(entries, readClock());
       this.logger.info({ address, facts: entries.length }, "prefixes_learned");
       return true;
--- a/src/gateway/upstream_chooser.ts
+++ b/src/gateway/upstream_chooser.ts
@@ -164,7 +164,7 @@
     const now = this.readNow();
     return chooseUpstream({
       candidates: this.getCandidates(call.service),
-      present: this.getReachable(call.service, now),
+      reachable: this.getReachable(call.service, now),
       boundMultiple,
       service: call.service,
       route: call.route.name,
--- a/src/peers/datagram_codec.ts
+++ b/src/peers/datagram_codec.ts
@@ -8,7 +8,7 @@
 import { packGossip } from "./pack_gossip.ts";
 import { gossipSchema } from "./gossip_schema.ts";
 import { hostRumoursSchema, packHostRumours } from "./host_rumour.ts";
-import { prefixFactsSchema, prefixHoldersSchema } from "./message_schemas.ts";
+import { prefixHoldersSchema, prefixUpdatesSchema } from "./message_schemas.ts";
 
 /** Encodes and decodes the body of one datagram type. */
 interface BodyCodec<Type extends DatagramType> {
@@ -56,7 +56,7 @@
   prefix_updates: {
     typeCode: 3,
     pack: ({ updates }) => [updates],
-    schema: z.tuple([prefixFactsSchema])
+    schema: z.tuple([prefixUpdatesSchema])
       .transform(([updates]) => ({ type: "prefix_updates", updates })),
   },
   prefix_lookup_request: {
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -49,11 +49,11 @@
   /** Returns this host's entry without the fields that gossip itself sets. */
   describeSelf: () => Omit<PeerEntry, "incarnation" | "sequence">;
   /** Returns the prefix updates to send in a round of a small fleet; each update is returned once. */
-  takeFacts: () => PrefixUpdate[];
+  takePrefixUpdates: () => PrefixUpdate[];
   /** Whether unsent prefix updates remain. */
-  hasFacts: () => boolean;
+  hasPrefixUpdates: () => boolean;
   /** Called with the prefix updates of another host. */
-  onFacts: (updates: readonly PrefixUpdate[]) => void;
+  onPrefixUpdates: (updates: readonly PrefixUpdate[]) => void;
   /** Called with each new entry of a host and the time at which the host sent it, as far as is known. If given,
    * `requestedAt` is a time of this host's clock before which the entry was not composed. */
   onEntry: (
@@ -242,7 +242,7 @@
     const now = this.timeline.read();
     const { isLarge } = this.hosts;
     if (this.self.updatePhase()) this.rumours.add(this.self.name);
-    const prefixUpdates = isLarge ? [] : this.options.takeFacts();
+    const prefixUpdates = isLarge ? [] : this.options.takePrefixUpdates();
     const isRelaying = this.round <= ROUNDS_PER_RELAY ||
       this.round % ROUNDS_PER_RELAY === 0;
     const { live, reconnects } = this.targets.choose(this.round, now);
@@ -256,7 +256,7 @@
       }
     }
     for (const peer of reconnects) this.sendMessage(peer, { prefixUpdates });
-    if (!isLarge && this.options.hasFacts()) this.announce();
+    if (!isLarge && this.options.hasPrefixUpdates()) this.announce();
   }
 
   /** Sends a host the entries of other hosts.
@@ -278,7 +278,7 @@
     const now = this.timeline.read();
     const { sender, sentAt, echo, prefixUpdates } = message;
     const address = sender.gossipAddress;
-    if (prefixUpdates.length > 0) this.options.onFacts(prefixUpdates);
+    if (prefixUpdates.length > 0) this.options.onPrefixUpdates(prefixUpdates);
     const knownIncarnation = this.hosts.getHost(address)?.entry.incarnation;
     if (this.hosts.applyDirectEntry(sender, sentAt, now)) {
       const isValidEcho = echo !== undefined && echo <= now;
--- a/src/peers/gossip_schema.ts
+++ b/src/peers/gossip_schema.ts
@@ -2,7 +2,7 @@
 import { HOST_PHASES } from "./host_phase.ts";
 import { loadReportsSchema } from "./load_report.ts";
 import { hostRumoursSchema } from "./host_rumour.ts";
-import { loadCountsSchema, prefixFactsSchema } from "./message_schemas.ts";
+import { loadCountsSchema, prefixUpdatesSchema } from "./message_schemas.ts";
 
 /** The state that a host advertises about itself. Encoded as a list, since field names would be two thirds of a
  * datagram. */
@@ -51,7 +51,7 @@
   peerEntrySchema,
   z.number(),
   z.number().nullable(),
-  prefixFactsSchema,
+  prefixUpdatesSchema,
   z.array(z.tuple([peerEntrySchema, z.number()])),
   z.number(),
   z.number(),
--- a/src/peers/message_schemas.ts
+++ b/src/peers/message_schemas.ts
@@ -10,7 +10,7 @@
 export const loadCountsSchema = z.array(z.tuple([z.number(), z.number()]));
 
 /** Which engines were sent which parts of prompts: each a `PrefixUpdate`. */
-export const prefixFactsSchema = z.array(
+export const prefixUpdatesSchema = z.array(
   z.tuple([z.number(), z.number(), z.number()]),
 );
 
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -31,7 +31,7 @@
   candidates: readonly Upstream[];
   /** All upstreams of the service that are present, including leaving ones; the bound is a multiple of their mean
    * load. */
-  present: readonly Upstream[];
+  reachable: readonly Upstream[];
   /** Ids of the upstreams that the request was already sent to. */
   triedIds: ReadonlySet<string>;
   /** Name of the request's service. */
@@ -120,7 +120,7 @@
   usable: readonly Upstream[],
   options: ChoiceOptions,
 ): number {
-  const present = options.present.length > 0 ? options.present : usable;
+  const present = options.reachable.length > 0 ? options.reachable : usable;
   const usableMean = computeMeanLoad(usable, options);
   const presentMean = computeMeanLoad(present, options);
   const toBound = (mean: number) =>
--- a/tests/gateway/backoff_test.ts
+++ b/tests/gateway/backoff_test.ts
@@ -7,8 +7,8 @@
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import {
-  answerSuccessfully,
   declineRequests,
+  respondSuccessfully,
 } from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call } from "./call.ts";
@@ -84,7 +84,7 @@
     ];
     leaving.behaviour = (request, response, worker) => {
       response.setHeader("Server-Leaving", "1");
-      answerSuccessfully(request, response, worker);
+      respondSuccessfully(request, response, worker);
     };
     fleet.publishConfiguration(1, [KEY]);
     const gateway = await fleet.startGateway();
@@ -96,7 +96,7 @@
     t.is(leaving.arrivals.length, 1);
     t.true(staying.arrivals.length >= CALLS);
     leaving.startedAt += 1_000;
-    leaving.behaviour = answerSuccessfully;
+    leaving.behaviour = respondSuccessfully;
     fleet.publishWorker(leaving, "s", "ready");
     await waitUntil("the restarted worker is used", async () => {
       await call(gateway, KEY);
--- a/tests/gateway/crashing_request_test.ts
+++ b/tests/gateway/crashing_request_test.ts
@@ -6,8 +6,8 @@
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
 import {
-  answerSuccessfully,
   type FakeWorker,
+  respondSuccessfully,
 } from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call, locate } from "./call.ts";
@@ -35,7 +35,7 @@
     worker.behaviour = (request, response, self) => {
       const isCrashing = self.arrivals.at(-1)?.body === CRASHING_BODY;
       if (isCrashing) self.crash();
-      else answerSuccessfully(request, response, self);
+      else respondSuccessfully(request, response, self);
     };
   }
   return workers;
--- a/tests/gateway/gateway_test.ts
+++ b/tests/gateway/gateway_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { FakeStore } from "../../fakes/fake_store.ts";
-import { answerSuccessfully } from "../../fakes/fake_worker.ts";
+import { respondSuccessfully } from "../../fakes/fake_worker.ts";
 import { buildWorkerEntry } from "../../fakes/worker_entry.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call, locate, sendRaw } from "./call.ts";
@@ -190,7 +190,7 @@
     let release = () => undefined as void;
     const isReleased = new Promise<void>((resolve) => release = resolve);
     worker.behaviour = (request, response, self) =>
-      void isReleased.then(() => answerSuccessfully(request, response, self));
+      void isReleased.then(() => respondSuccessfully(request, response, self));
     fleet.publishConfiguration(1, [KEY]);
     const staying = await fleet.startGateway();
     const stopping = await fleet.startGateway();
--- a/tests/gateway/virtual_gateways.ts
+++ b/tests/gateway/virtual_gateways.ts
@@ -140,9 +140,9 @@
         ...own,
         loads: chooser.loads.getOwnCounts(chooser.upstreams.getAll()),
       }),
-      takeFacts: () => chooser.prefixes.takeUpdates(),
-      hasFacts: () => chooser.prefixes.hasPendingUpdates,
-      onFacts: (updates) =>
+      takePrefixUpdates: () => chooser.prefixes.takeUpdates(),
+      hasPrefixUpdates: () => chooser.prefixes.hasPendingUpdates,
+      onPrefixUpdates: (updates) =>
         chooser.prefixes.applyUpdates(updates, timeline.read()),
       onEntry: (entry, lastSeenAt) =>
         recordPeerLoads(chooser.loads, entry, lastSeenAt, gossip.isLargeFleet),
--- a/tests/gateway/worker_entry_test.ts
+++ b/tests/gateway/worker_entry_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { answerSuccessfully } from "../../fakes/fake_worker.ts";
+import { respondSuccessfully } from "../../fakes/fake_worker.ts";
 import { waitUntil } from "../system/with_fleet.ts";
 import { call } from "./call.ts";
 import { waitForStatus, waitUntilServing } from "./wait_for_gateway.ts";
@@ -25,7 +25,7 @@
       "the worker has a request",
       () => restarted.arrivals.length > 0,
     );
-    restarted.behaviour = answerSuccessfully;
+    restarted.behaviour = respondSuccessfully;
     restarted.startedAt += 1_000;
     fleet.publishWorker(restarted, "s", "ready");
     for (const response of responses) t.is((await response).status, 200);
--- a/tests/peers/virtual_fleet.ts
+++ b/tests/peers/virtual_fleet.ts
@@ -131,9 +131,9 @@
       hall: getHall(index),
       getSeeds: () => [getAddress(0)],
       describeSelf: () => entry,
-      takeFacts: () => [],
-      hasFacts: () => false,
-      onFacts: () => undefined,
+      takePrefixUpdates: () => [],
+      hasPrefixUpdates: () => false,
+      onPrefixUpdates: () => undefined,
       onEntry: () => undefined,
       readHosts: (host, done) =>
         this.readHosts(address, host.gossipAddress, done),
--- a/tests/soak/invariants_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -2,7 +2,7 @@
 import type { CallerAttempt } from "../../soak/caller_attempt.ts";
 import type { Evidence } from "../../soak/evidence.ts";
 import { FaultLog } from "../../soak/fault_log.ts";
-import { RESPONSE_INVARIANTS } from "../../soak/answer_invariants.ts";
+import { RESPONSE_INVARIANTS } from "../../soak/response_invariants.ts";
 import { TIMING_INVARIANTS } from "../../soak/timing_invariants.ts";
 import { CUSTOMER, PERMANENT_KEY } from "../../soak/soak_fleet.ts";
 import {
--- a/tests/system/complete_response_test.ts
+++ b/tests/system/complete_response_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { getFullText } from "../../fakes/answer_text.ts";
+import { getFullText } from "../../fakes/response_text.ts";
 import type { EngineFault } from "../../fakes/fake_engine.ts";
 import { findPlacement } from "./find_placement.ts";
 import { waitUntil, withFleet } from "./with_fleet.ts";
--- a/tests/system/routed_request_test.ts
+++ b/tests/system/routed_request_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { getFullText } from "../../fakes/answer_text.ts";
+import { getFullText } from "../../fakes/response_text.ts";
 import { Caller } from "../../tools/caller.ts";
 import { Fleet } from "../../tools/fleet.ts";
 
--- a/tests/upstreams/choose_upstream_test.ts
+++ b/tests/upstreams/choose_upstream_test.ts
@@ -32,7 +32,7 @@
 ): ChoiceOptions {
   return {
     candidates,
-    present: candidates,
+    reachable: candidates,
     triedIds: new Set(),
     sharedParts: [],
     avoidsSuspects: false,
--- a/tools/load_generator.ts
+++ b/tools/load_generator.ts
@@ -1,5 +1,5 @@
 import { setTimeout as delay } from "node:timers/promises";
-import { getFullText } from "../fakes/answer_text.ts";
+import { getFullText } from "../fakes/response_text.ts";
 import { Random } from "../src/random/random.ts";
 import { Caller, type ReceivedResponse } from "./caller.ts";
 
