--- a/src/forward/call_log.ts
+++ b/src/forward/call_log.ts
@@ -77,7 +77,7 @@
       reportedLoad: load.reported,
       reportAgeMs: load.reportAgeMs && Math.round(load.reportAgeMs),
       backoffMs: Math.round(availability.getBackoffMs(readClock())),
-      isLeaving: availability.isLeaving,
+      saysLeaving: availability.isLeaving,
       failureRate: roundFailureRate(upstream),
       ...prompt,
     }, "request_sent");
@@ -98,8 +98,8 @@
       request: this.call.requestId,
       upstream: upstream.id,
       status,
-      requestedBackoffMs: availability.backoffMs,
-      isLeaving: availability.isLeaving,
+      askedBackoffMs: availability.backoffMs,
+      saysLeaving: availability.isLeaving,
       ...progress,
     }, "attempt_declined");
   }
