--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -21,7 +21,7 @@
   settings: Settings;
   system: ActorSystem;
   authenticator: PeerAuthenticator;
-  guard: PauseDetector;
+  pauseDetector: PauseDetector;
   logger: Logger;
   /** Returns digest and revision of this router's configuration. */
   getConfiguration: () => { digest: number; revision: number };
@@ -205,8 +205,8 @@
   /** Completes a probe. A pause of this process that was not noticed before is noticed first and cancels the pending
    * probes, so that an acknowledgement which was delayed by the pause is ignored. */
   private acknowledge(id: string, nonce: number): void {
-    this.options.guard.isFresh();
-    if (this.prober.acknowledge(id, nonce)) this.options.guard.markFresh();
+    this.options.pauseDetector.isFresh();
+    if (this.prober.complete(id, nonce)) this.options.pauseDetector.markFresh();
   }
 
   /** Probes a member on behalf of another router and sends that router the member's state if the member acknowledges the
@@ -242,10 +242,10 @@
   /** Runs once per probe interval. While no member is alive, no acknowledgement is expected that would end the
    * stale state of the pause detector, so it is ended here. */
   private probeNextMembers(): void {
-    this.options.guard.isFresh();
+    this.options.pauseDetector.isFresh();
     this.table.expireSuspicions(readClock());
     if (this.table.getMembers().every((member) => member.status !== "alive")) {
-      this.options.guard.markFresh();
+      this.options.pauseDetector.markFresh();
     }
     for (
       let count = 0;
@@ -283,7 +283,7 @@
   /** Marks a member suspect, unless this process was paused and no probe was acknowledged since: the pause itself
    * may be why no acknowledgement from the member was received. */
   private suspect(id: string): void {
-    if (!this.options.guard.isFresh()) return;
+    if (!this.options.pauseDetector.isFresh()) return;
     this.table.markSuspect(id, readClock());
     this.publishView();
   }
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -66,7 +66,7 @@
   /** Completes the probe that an acknowledgement belongs to; returns whether it belongs to a pending one.
    * @param id Host that was probed.
    * @param nonce Nonce of the probe. */
-  acknowledge(id: string, nonce: number): boolean {
+  complete(id: string, nonce: number): boolean {
     const pending = this.pending.get(nonce);
     if (!pending || pending.target !== id) return false;
     pending.stopTimer();
--- a/src/owner/job_scheduler.ts
+++ b/src/owner/job_scheduler.ts
@@ -28,7 +28,7 @@
 /** Dependencies of the scheduler. */
 export interface JobSchedulerOptions {
   registry: UpstreamRegistry;
-  guard: Pick<PauseDetector, "isFresh">;
+  pauseDetector: Pick<PauseDetector, "isFresh">;
   logger: Logger;
   timeline: Timeline;
   streamWindowBytes: number;
@@ -89,7 +89,7 @@
     }
     job.wasOwnedWhenOffered = upstream.isOwned;
     const mayStart = upstream.queue.length === 0 &&
-      this.options.guard.isFresh() &&
+      this.options.pauseDetector.isFresh() &&
       this.options.registry.hasRoom(upstream);
     if (mayStart || this.isAlreadyRunning(upstream, frame)) {
       this.jobs.add({ upstream, job });
@@ -112,7 +112,7 @@
     frame: FrameOf<"offer">,
   ): boolean {
     return frame.resumes && upstream.foreign.minimumLoad > 0 &&
-      this.options.guard.isFresh();
+      this.options.pauseDetector.isFresh();
   }
 
   private start(upstream: OwnedUpstream, job: Job): void {
@@ -167,7 +167,7 @@
   /** Sends a granted request, unless this process was paused since, so that the grant may be outdated, or the upstream
    * no longer accepts work. */
   private handleGrant(upstream: OwnedUpstream, job: Job): void {
-    const reason = this.options.guard.isFresh()
+    const reason = this.options.pauseDetector.isFresh()
       ? undefined
       : "the router was paused";
     const refusal = reason ??
@@ -213,7 +213,7 @@
   private startQueued(upstream: OwnedUpstream): void {
     while (upstream.queue.length > 0) {
       const mayStart = this.options.registry.hasRoom(upstream) &&
-        this.options.guard.isFresh();
+        this.options.pauseDetector.isFresh();
       const job = mayStart
         ? upstream.queue.take(this.options.registry.getCap(upstream))
         : undefined;
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -143,10 +143,10 @@
   }
 
   private createScheduler(): JobScheduler {
-    const { settings, guard, logger, onLoadGrew } = this.options;
+    const { settings, pauseDetector, logger, onLoadGrew } = this.options;
     return JobScheduler.create({
       registry: this.registry,
-      guard,
+      pauseDetector,
       logger,
       timeline: processTimeline,
       streamWindowBytes: settings.limits.streamWindowBytes,
--- a/src/owner/owner_options.ts
+++ b/src/owner/owner_options.ts
@@ -11,7 +11,7 @@
 export interface OwnerOptions {
   settings: Settings;
   system: ActorSystem;
-  guard: PauseDetector;
+  pauseDetector: PauseDetector;
   logger: Logger;
   audit: AuditTrail;
   loads: LoadTable;
--- a/src/peers/failure_detector.ts
+++ b/src/peers/failure_detector.ts
@@ -92,7 +92,7 @@
   }
 
   private handleAcknowledgement(target: string, nonce: number): void {
-    this.probes.acknowledge(target, nonce);
+    this.probes.complete(target, nonce);
     this.options.hosts.recordContact(target, this.options.timeline.read());
   }
 
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -188,7 +188,7 @@
     return {
       settings: this.settings,
       system: this.system,
-      guard: this.pauseDetector,
+      pauseDetector: this.pauseDetector,
       logger: this.logger,
       audit: this.audit,
       loads: this.loads,
--- a/tests/owner/owner_test.ts
+++ b/tests/owner/owner_test.ts
@@ -55,12 +55,15 @@
 function createOwner(upstream: Host) {
   const logger = pino({ level: "silent" });
   let view = buildView(1, upstream, []);
-  const guard = PauseDetector.create(LONGER_THAN_TEST_MS, () => undefined);
-  guard.markFresh();
+  const pauseDetector = PauseDetector.create(
+    LONGER_THAN_TEST_MS,
+    () => undefined,
+  );
+  pauseDetector.markFresh();
   const owner = Owner.create({
     settings: buildSettings(),
     system: start(),
-    guard,
+    pauseDetector,
     logger,
     audit: AuditTrail.create(10, logger),
     loads: LoadTable.create(),
@@ -71,7 +74,7 @@
   const setOtherRouters = (others: readonly string[]) =>
     view = buildView(view.version + 1, upstream, others);
   const close = async () => {
-    guard.close();
+    pauseDetector.close();
     await owner.close();
   };
   return { owner, setOtherRouters, close };
--- a/tests/owner/virtual_owners.ts
+++ b/tests/owner/virtual_owners.ts
@@ -195,7 +195,7 @@
     });
     router.scheduler = JobScheduler.create({
       registry: router.registry,
-      guard: { isFresh: () => !router.isStale },
+      pauseDetector: { isFresh: () => !router.isStale },
       logger: SILENT_LOGGER,
       timeline: this.timeline,
       streamWindowBytes: 1_000,
