--- a/src/entry/caller_server.ts
+++ b/src/entry/caller_server.ts
@@ -10,7 +10,7 @@
 import type { EntryContext } from "./entry_context.ts";
 import { getHandlerOrThrow } from "./routes.ts";
 
-/** Interval at which the header and request time-outs are checked. */
+/** Interval at which the header and request timeouts are checked. */
 const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
 /** Error kinds of specific errors of Node's HTTP server; all others are `malformed_request`. */
--- a/src/upstreams/choose_upstream.ts
+++ b/src/upstreams/choose_upstream.ts
@@ -29,8 +29,7 @@
 export interface ChoiceOptions {
   /** Upstreams that can run the request and accept requests now. */
   candidates: readonly Upstream[];
-  /** All upstreams of the service that are present, including leaving ones; the bound is a multiple of their mean
-   * load. */
+  /** All reachable upstreams of the service, including leaving ones; the bound is a multiple of their mean load. */
   reachable: readonly Upstream[];
   /** Ids of the upstreams that the request was already sent to. */
   triedIds: ReadonlySet<string>;
@@ -120,12 +119,12 @@
   usable: readonly Upstream[],
   options: ChoiceOptions,
 ): number {
-  const present = options.reachable.length > 0 ? options.reachable : usable;
+  const reachable = options.reachable.length > 0 ? options.reachable : usable;
   const usableMean = computeMeanLoad(usable, options);
-  const presentMean = computeMeanLoad(present, options);
+  const reachableMean = computeMeanLoad(reachable, options);
   const toBound = (mean: number) =>
     options.boundMultiple * mean + BOUND_EXTRA_REQUESTS;
-  const bound = toBound(Math.min(usableMean, presentMean));
+  const bound = toBound(Math.min(usableMean, reachableMean));
   return bound >= usableMean ? bound : toBound(usableMean);
 }
 
