--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -180,7 +180,7 @@
   private createGuard(): CrashGuard {
     return CrashGuard.create({
       logger: this.logger,
-      formatFingerprint: formatFingerprint,
+      formatFingerprint,
       onPendingReports: () => this.peerNetwork?.announceCrashes(),
       onHeld: (fingerprint) => this.handler.refuseHeldCalls(fingerprint),
       onCrash: (instanceHash) => {
