--- a/soak/fault_log.ts
+++ b/soak/fault_log.ts
@@ -3,7 +3,7 @@
   name: string;
   /** Ids of the affected gateways or workers, or `store`. */
   targets: readonly string[];
-  /** Whether it is a planned operation, because of which no request may fail. */
+  /** Whether it is a planned operation; failures during it still count as breaches. */
   isPlanned: boolean;
   from: number;
   /** Undefined while the fault lasts. */
