--- a/soak/availability.ts
+++ b/soak/availability.ts
@@ -103,17 +103,17 @@
   const byId = new Map(attempts.map((attempt) => [attempt.requestId, attempt]));
   /** Time of the first complete response with the announcement, by gateway, start of the gateway, and worker. */
   const announcedAt = new Map<string, number>();
-  for (const { requestId, worker, announcedLeaving } of runs) {
+  for (const { requestId, worker, saidLeaving: announcedLeaving } of runs) {
     const attempt = byId.get(requestId);
     if (!announcedLeaving || !attempt?.isWhole) continue;
-    const key = `${attempt.gateway} ${attempt.gatewayStart} ${worker}`;
+    const key = `${attempt.gateway} ${attempt.life} ${worker}`;
     const endedAt = attempt.endedAt ?? Infinity;
     announcedAt.set(key, Math.min(endedAt, announcedAt.get(key) ?? Infinity));
   }
   return runs.flatMap(({ requestId, worker, startedAt }) => {
     const attempt = byId.get(requestId);
     if (!attempt) return [];
-    const { gateway, gatewayStart, sentAt } = attempt;
+    const { gateway, life: gatewayStart, sentAt } = attempt;
     const at = announcedAt.get(`${gateway} ${gatewayStart} ${worker}`) ??
       Infinity;
     const isLate = sentAt > at + BOUNDS.leaveWithinMs + lagMs;
--- a/soak/caller_attempt.ts
+++ b/soak/caller_attempt.ts
@@ -52,7 +52,7 @@
   afterEvent: number;
   gateway: string;
   /** Which start of the gateway's process the request was sent to, as a count of its starts. */
-  gatewayStart: number;
+  life: number;
   sentAt: number;
   endedAt: number | undefined;
   status: number | undefined;
--- a/soak/crashing_requests.ts
+++ b/soak/crashing_requests.ts
@@ -94,7 +94,7 @@
   /** Number of workers that they crashed. */
   crashes: number;
   /** Number of attempts of other requests that were refused as crashing requests. */
-  wronglyRefused: number;
+  innocentRefused: number;
 }
 
 /** Summarizes the crashing requests of a run.
@@ -111,6 +111,6 @@
   return {
     requests: new Set(attempts.filter(isCrashing).map(({ path }) => path)).size,
     crashes: runs.filter(isCrashing).length,
-    wronglyRefused: refused.filter((attempt) => !isCrashing(attempt)).length,
+    innocentRefused: refused.filter((attempt) => !isCrashing(attempt)).length,
   };
 }
--- a/soak/response_invariants.ts
+++ b/soak/response_invariants.ts
@@ -145,7 +145,7 @@
   return served.flatMap((later) => {
     const newer = served.find((earlier) =>
       earlier.gateway === later.gateway &&
-      earlier.gatewayStart === later.gatewayStart &&
+      earlier.life === later.life &&
       earlier.version! > later.version! && earlier.endedAt! < later.sentAt
     );
     return newer
@@ -171,7 +171,7 @@
 /** Whether the worker sent its complete response and no fault affected it meanwhile. */
 function isUndisturbedRun(run: WorkerRun, { faults }: Evidence): boolean {
   const leftAt = (run.endedAt ?? Infinity) + FINAL_FLUSH_MS;
-  return run.isComplete && !run.wasCancelled &&
+  return run.isWhole && !run.wasCancelled &&
     !faults.wasAffected(run.worker, run.startedAt - FAULT_RECOVERY_MS, leftAt);
 }
 
--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -65,7 +65,7 @@
   );
   console.log(`  ${counts.join(", ")}`);
   console.log(
-    `  ${crashes.requests} crashing requests crashed ${crashes.crashes} workers; ${crashes.wronglyRefused} attempts of other requests were refused as crashing`,
+    `  ${crashes.requests} crashing requests crashed ${crashes.crashes} workers; ${crashes.innocentRefused} attempts of other requests were refused as crashing`,
   );
   for (const breach of breaches.slice(0, 12)) console.log(`  ${breach}`);
 }
--- a/soak/soak_caller.ts
+++ b/soak/soak_caller.ts
@@ -169,7 +169,7 @@
       version: kind === "version" ? version : undefined,
       afterEvent: 0,
       gateway: gateway.id,
-      gatewayStart: gateway.program.starts,
+      life: gateway.program.starts,
       sentAt: performance.now(),
     };
   }
--- a/soak/soak_worker.ts
+++ b/soak/soak_worker.ts
@@ -163,9 +163,9 @@
       startedAt: performance.now(),
       endedAt: undefined,
       status: undefined,
-      isComplete: false,
+      isWhole: false,
       wasCancelled: false,
-      announcedLeaving: this.announcesLeaving,
+      saidLeaving: this.announcesLeaving,
     };
     this.ledger.runs.push(run);
     return run;
@@ -199,7 +199,7 @@
     run: WorkerRun,
   ): void {
     run.status = 500;
-    run.isComplete = true;
+    run.isWhole = true;
     response.writeHead(500, this.worker.buildSealHeaders(request)).end("no");
   }
 
@@ -224,7 +224,7 @@
     const { socket } = response;
     response.end(text);
     if (fault === "surplus") socket?.write("HTTP/1.1 200 OK\r\n\r\n");
-    run.isComplete = fault === "none" || fault === "slow";
+    run.isWhole = fault === "none" || fault === "slow";
   }
 
   private async sendStream(
@@ -252,7 +252,7 @@
     }
     if (response.destroyed) return;
     response.end();
-    run.isComplete = fault === "none" || fault === "slow";
+    run.isWhole = fault === "none" || fault === "slow";
   }
 
   private async work(
--- a/soak/timing_invariants.ts
+++ b/soak/timing_invariants.ts
@@ -41,7 +41,7 @@
   });
 }
 
-/** Whether any gateway was killed or frozen within an interval; it may then send requests that it accepted before. */
+/** Whether any gateway was killed or paused within an interval; it may then send requests that it accepted before. */
 function wasAnyGatewayAffected(
   { faults, attempts }: Evidence,
   from: number,
--- a/soak/worker_run.ts
+++ b/soak/worker_run.ts
@@ -17,9 +17,9 @@
   /** Status of the response; undefined if none was sent. */
   status: number | undefined;
   /** Whether the worker wrote its complete response and nothing else. */
-  isComplete: boolean;
+  isWhole: boolean;
   /** Whether the response announced that the worker leaves. */
-  announcedLeaving: boolean;
+  saidLeaving: boolean;
   /** Whether the other side closed the connection before the worker had finished. */
   wasCancelled: boolean;
 }
--- a/tests/soak/invariants_test.ts
+++ b/tests/soak/invariants_test.ts
@@ -26,7 +26,7 @@
     version: undefined,
     afterEvent: 0,
     gateway: "g-0",
-    gatewayStart: 1,
+    life: 1,
     sentAt: 1_000,
     endedAt: 1_030,
     status: 200,
@@ -52,9 +52,9 @@
     startedAt: 1_005,
     endedAt: 1_025,
     status: 200,
-    isComplete: true,
+    isWhole: true,
     wasCancelled: false,
-    announcedLeaving: false,
+    saidLeaving: false,
     ...changes,
   };
 }
@@ -173,7 +173,7 @@
           buildAttempt({ requestId: "c-2", sentAt: 9_000, endedAt: 9_030 }),
         ],
         runs: [
-          buildRun({ announcedLeaving: true }),
+          buildRun({ saidLeaving: true }),
           buildRun({ requestId: "c-2", startedAt: 9_005 }),
         ],
       }),
